--- /dev/null
+++ b/bench/decision_trace/trace.cpp
@@ -0,0 +1,69 @@
+#include "trace.h"
+
+#include <array>
+
+namespace decision_trace {
+namespace {
+
+using namespace nettletrestle;
+
+// In the order of the interface's enum, which is part of what is compared.
+constexpr std::array<const char*, kCauses> kReasons = {
+    "class-unknown",  "write-throttled", "read-not-admitted", "no-primary", "none-eligible",
+    "ejected",        "slow-start",      "at-capacity",       "stale",      "deadline",
+    "not-repeatable", "retry-budget",    "errors-repeat"};
+
+const char* reason(Cause cause) { return kReasons[static_cast<std::size_t>(cause)]; }
+
+struct Line {
+    std::string text;
+    std::string kind;
+};
+
+long long whole(std::int64_t value) { return static_cast<long long>(value); }
+
+struct Writer {
+    template <class... Parts>
+    static Line line(const std::string& kind, Parts... parts) {
+        Line out{kind, kind};
+        ((out.text += " " + std::to_string(parts)), ...);
+        return out;
+    }
+    Line operator()(const Send& a) const {
+        return line("forward", a.request, a.server, whole(a.timeout_us),
+                    whole(a.begin_within_us.value_or(-1)));
+    }
+    Line operator()(const Refuse& a) const {
+        return line(std::string("reject ") + reason(a.cause), a.request, whole(a.retry_after_us));
+    }
+    Line operator()(const Fail& a) const { return line(std::string("fail ") + reason(a.cause), a.request); }
+    Line operator()(const Cancel& a) const { return line("cancel", a.request, a.attempt); }
+    Line operator()(const SetTimer& a) const { return line("timer", whole(a.delay_us), a.token); }
+    Line operator()(const Probe& a) const { return line("health-check", a.server); }
+    Line operator()(const WatchList&) const { return line("fetch-list"); }
+    // Its words may change, its place among the actions may not.
+    Line operator()(const Log&) const { return line("log"); }
+};
+
+}  // namespace
+
+void Trace::actions(Time now, int router, const std::vector<Action>& actions) {
+    for (const auto& action : actions) {
+        const auto line = std::visit(Writer{}, action);
+        ++counts_["action " + line.kind];
+        std::fprintf(out_, "%lld %d %s\n", whole(now), router, line.text.c_str());
+    }
+}
+
+void Trace::avoided(Time now, int router, std::size_t count) {
+    std::fprintf(out_, "%lld %d avoided %zu\n", whole(now), router, count);
+}
+
+void Trace::summary(const std::string& scenario) {
+    for (const auto& [kind, count] : counts_)
+        std::fprintf(out_, "summary %s %s %llu\n", scenario.c_str(), kind.c_str(),
+                     static_cast<unsigned long long>(count));
+    counts_.clear();
+}
+
+}  // namespace decision_trace
