--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -2,7 +2,7 @@
 // docs/design/crossings.md. Not part of CI. No arguments; prints one line a case.
 #include <cstdio>
 
-#include "standin/callers.h"
+#include "emulator/callers.h"
 
 int main() {
     std::printf("%8s %6s %5s %8s %8s %8s %8s %9s %9s\n", "routers", "a s", "held", "calls/s", "failed",
@@ -10,10 +10,10 @@
     for (const bool free : {true, false})
         for (const int routers : {3, 30, 300, 1700})
             for (const double capacity : {0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.7, 1.0, 3.0}) {
-                standin::CallersSettings s;
+                emulator::CallersSettings s;
                 s.routers = routers, s.capacity = capacity, s.held_are_free = free;
                 s.change_every = 4'000'000, s.last_change = 20'000'000, s.length = 60'000'000;
-                const auto r = standin::play_callers(s);
+                const auto r = emulator::play_callers(s);
                 std::printf(
                     "%8d %6.2f %5s %8.2f %8.2f %8.2f %8.3f %9.1f %9.2f\n", routers, capacity,
                     free ? "free" : "cost", r.calls / 60.0 / routers, static_cast<double>(r.failed) / routers,
--- a/bench/decision_trace/fleet.cpp
+++ b/bench/decision_trace/fleet.cpp
@@ -5,7 +5,7 @@
 namespace decision_trace {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 
 constexpr Micros kStep = 1'000;            // us; what happens within it is one step of a router
 constexpr Micros kChangeEvery = 250'000;   // us; between the changes of the fleet
@@ -66,7 +66,7 @@
         settings.zone = i % scenario_.zones;
         if (i % 3 != 0) settings.rank = i;
         auto& router = routers_.emplace_back();
-        router.router = std::make_unique<nettletrestle::Router>(settings, random_.next());
+        router.router = std::make_unique<sloestack::decision::Router>(settings, random_.next());
         router.events.emplace_back(ServerList{ListKind::cached, entries});
     }
 }
--- a/bench/decision_trace/fleet.h
+++ b/bench/decision_trace/fleet.h
@@ -20,26 +20,26 @@
     void play();
 
 private:
-    using Time = nettletrestle::Time;
-    using Micros = nettletrestle::Micros;
-    using Event = nettletrestle::Event;
+    using Time = sloestack::decision::Time;
+    using Micros = sloestack::decision::Micros;
+    using Event = sloestack::decision::Event;
 
     struct Endpoint {
-        nettletrestle::ServerEntry entry;
+        sloestack::decision::ServerEntry entry;
         bool primary = false, running = true, hung = false, failing = false, resetting = false;
         int slow_factor = 1;
         Micros lag_us = 20'000;
         Time busy_until = 0;
     };
     struct Request {
-        nettletrestle::Arrival arrival;
+        sloestack::decision::Arrival arrival;
         int attempts = 0;
         bool open = true;
     };
     struct Router {
-        std::unique_ptr<nettletrestle::Router> router;
+        std::unique_ptr<sloestack::decision::Router> router;
         std::vector<Event> events;
-        std::map<nettletrestle::RequestId, Request> requests;
+        std::map<sloestack::decision::RequestId, Request> requests;
     };
     struct Pending {
         Time at;
@@ -54,30 +54,30 @@
     };
 
     // ---- the course of the day ----
-    void add_endpoint(nettletrestle::ServerId id, int group, int zone, Time started_at);
+    void add_endpoint(sloestack::decision::ServerId id, int group, int zone, Time started_at);
     void start_routers();
     void change_fleet();
     void set_zone_hung(int zone, bool hung);
     void replace_some();
     void fail_over(int group);
-    void publish(nettletrestle::ListKind kind);
+    void publish(sloestack::decision::ListKind kind);
     // ---- clients ----
     void arrive();
     void leave(Router& router);
     // ---- what routers ask for ----
-    void carry_out(int router, const std::vector<nettletrestle::Action>& actions);
-    void act(int router, const nettletrestle::Send& action);
-    void act(int router, const nettletrestle::Refuse& action);
-    void act(int router, const nettletrestle::Fail& action);
-    void act(int router, const nettletrestle::Cancel& action);
-    void act(int router, const nettletrestle::SetTimer& action);
-    void act(int router, const nettletrestle::Probe& action);
-    void act(int router, const nettletrestle::WatchList& action);
-    void act(int, const nettletrestle::Log&) {}
-    nettletrestle::AttemptEnded answer(const Request& request, const nettletrestle::Send& action);
+    void carry_out(int router, const std::vector<sloestack::decision::Action>& actions);
+    void act(int router, const sloestack::decision::Send& action);
+    void act(int router, const sloestack::decision::Refuse& action);
+    void act(int router, const sloestack::decision::Fail& action);
+    void act(int router, const sloestack::decision::Cancel& action);
+    void act(int router, const sloestack::decision::SetTimer& action);
+    void act(int router, const sloestack::decision::Probe& action);
+    void act(int router, const sloestack::decision::WatchList& action);
+    void act(int, const sloestack::decision::Log&) {}
+    sloestack::decision::AttemptEnded answer(const Request& request, const sloestack::decision::Send& action);
     Micros service_time(Endpoint& endpoint, int request_class);
-    nettletrestle::Standing status(const Endpoint& endpoint);
-    std::vector<nettletrestle::ServerEntry> list() const;
+    sloestack::decision::Standing status(const Endpoint& endpoint);
+    std::vector<sloestack::decision::ServerEntry> list() const;
 
     void schedule(Micros delay, int router, Event event);
     void deliver(const Pending& pending);
@@ -89,9 +89,9 @@
     Time now_ = 1'000'000'000;
     Time start_ = now_;
     std::uint64_t scheduled_ = 0;
-    nettletrestle::RequestId last_request_ = 0;
-    nettletrestle::ServerId last_endpoint_ = 0;
-    std::map<nettletrestle::ServerId, Endpoint> endpoints_;
+    sloestack::decision::RequestId last_request_ = 0;
+    sloestack::decision::ServerId last_endpoint_ = 0;
+    std::map<sloestack::decision::ServerId, Endpoint> endpoints_;
     std::vector<Router> routers_;
     std::priority_queue<Pending, std::vector<Pending>, Later> pending_;
     bool discovery_up_ = true;
--- a/bench/decision_trace/scenario.cpp
+++ b/bench/decision_trace/scenario.cpp
@@ -3,7 +3,7 @@
 namespace decision_trace {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 
 ClassSettings make_class(Need need, Effect effect, RepeatScope scope) {
     ClassSettings out;
--- a/bench/decision_trace/trace.cpp
+++ b/bench/decision_trace/trace.cpp
@@ -5,7 +5,7 @@
 namespace decision_trace {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 
 // In the order of the interface's enum, which is part of what is compared.
 constexpr std::array<const char*, kCauses> kReasons = {
--- a/bench/decision_trace/trace.h
+++ b/bench/decision_trace/trace.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
 namespace decision_trace {
 
@@ -15,8 +15,9 @@
 public:
     explicit Trace(std::FILE* out) : out_(out) {}
 
-    void actions(nettletrestle::Time now, int router, const std::vector<nettletrestle::Action>& actions);
-    void avoided(nettletrestle::Time now, int router, std::size_t count);
+    void actions(sloestack::decision::Time now, int router,
+                 const std::vector<sloestack::decision::Action>& actions);
+    void avoided(sloestack::decision::Time now, int router, std::size_t count);
     void count_event(const char* kind) { ++counts_[std::string("event ") + kind]; }
     // How often each kind of event, action and reason came, and begins anew.
     void summary(const std::string& scenario);
--- a/standin/bank.cpp
+++ b/emulator/bank.cpp
@@ -1,8 +1,8 @@
-#include "standin/bank.h"
+#include "emulator/bank.h"
 
 #include <algorithm>
 
-namespace standin {
+namespace emulator {
 namespace {
 
 constexpr double kCatchUp = 2;  // a replica that is behind applies the log twice as fast as it is written
@@ -104,4 +104,4 @@
     return {true, value, now};
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/bank.h
+++ b/emulator/bank.h
@@ -8,9 +8,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "standin/event.h"
+#include "emulator/event.h"
 
-namespace standin {
+namespace emulator {
 
 struct BankSettings {
     int members = 3;                      // the first begins as the primary
@@ -68,4 +68,4 @@
     std::deque<std::pair<Time, std::string>> keys_by_age_;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/callers.cpp
+++ b/emulator/callers.cpp
@@ -1,4 +1,4 @@
-#include "standin/callers.h"
+#include "emulator/callers.h"
 
 #include <algorithm>
 #include <functional>
@@ -6,17 +6,17 @@
 #include <random>
 #include <tuple>
 
-#include "calls/calls.h"
+#include "discovery_poll_schedule.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
-using namespace nettletrestle::route;
+using namespace sloestack::decision;
 
 class Callers {
 public:
     explicit Callers(const CallersSettings& s) : s_(s), random_(s.seed) {
-        nettletrestle::Settings settings;
+        sloestack::decision::Settings settings;
         settings.routers = s.routers;
         settings.list_on_request = true;
         for (int i = 0; i < s.routers; ++i) {
@@ -109,7 +109,7 @@
         r.parked = false;
         const bool held = r.next.hold > 0;
         refused ? r.times.refused(held) : r.times.unanswered(held);
-        const nettletrestle::FailedCall call{refused, now_ - r.begun};
+        const sloestack::decision::FailedCall call{refused, now_ - r.begun};
         at(now_ + r.calls.failed(call, unit_(random_)), Event::call, who);
     }
 
@@ -136,4 +136,4 @@
 
 CallersReport play_callers(const CallersSettings& settings) { return Callers(settings).play(); }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/callers.h
+++ b/emulator/callers.h
@@ -1,16 +1,17 @@
 // Many routers' calls for the list before one discovery of bounded capacity, in simulated time and without
-// sockets: the schedule that serves (route/calls) and a queue. For sizes that processes do not reach.
+// sockets: the schedule that serves (decision/discovery_poll_schedule) and a queue. For sizes that processes
+// do not reach.
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace standin {
+namespace emulator {
 
-using nettletrestle::Micros;
-using nettletrestle::Time;
+using sloestack::decision::Micros;
+using sloestack::decision::Time;
 
 struct CallersSettings {
     int routers = 1;
@@ -34,4 +35,4 @@
 // Plays the fleet from the start of all at once. Equal settings give equal reports.
 CallersReport play_callers(const CallersSettings& settings);
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/capacity.h
+++ b/emulator/capacity.h
@@ -5,9 +5,9 @@
 #include <deque>
 #include <utility>
 
-#include "standin/event.h"
+#include "emulator/event.h"
 
-namespace standin {
+namespace emulator {
 
 struct ColdSettings {
     double from = 0.29;         // share of its capacity that a member begins with, over 0
@@ -50,4 +50,4 @@
     double sum_ = 0;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/checker.cpp
+++ b/emulator/checker.cpp
@@ -1,10 +1,10 @@
-#include "standin/checker.h"
+#include "emulator/checker.h"
 
 #include <algorithm>
 
-#include "standin/values.h"
+#include "emulator/values.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 constexpr std::size_t kMostSentences = 100;  // a program that breaks one rule breaks it often
@@ -166,4 +166,4 @@
     return out;
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/checker.h
+++ b/emulator/checker.h
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "standin/event.h"
+#include "emulator/event.h"
 
-namespace standin {
+namespace emulator {
 
 struct Rules {
     // As the operators have them, every time limit 50 ms longer on sockets.
@@ -66,4 +66,4 @@
     std::uint64_t ran_ = 0, repeats_ = 0, untold_ = 0;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/discovery.cpp
+++ b/emulator/discovery.cpp
@@ -1,4 +1,4 @@
-#include "standin/discovery.h"
+#include "emulator/discovery.h"
 
 #include <arpa/inet.h>
 
@@ -8,7 +8,7 @@
 
 #include "http/request.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace net = sloestack::net;
@@ -252,4 +252,4 @@
         if (call->proxy() == proxy && call->line()) call->line()->changed();
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/discovery.h
+++ b/emulator/discovery.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "standin/edge.h"
-#include "standin/event.h"
+#include "emulator/edge.h"
+#include "emulator/event.h"
 
-namespace standin {
+namespace emulator {
 
 using sloestack::Deadline;
 using sloestack::Deadlines;
@@ -92,4 +92,4 @@
     std::vector<std::unique_ptr<Deadline>> missed_;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/edge.cpp
+++ b/emulator/edge.cpp
@@ -1,4 +1,4 @@
-#include "standin/edge.h"
+#include "emulator/edge.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace net = sloestack::net;
@@ -159,4 +159,4 @@
     }
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/edge.h
+++ b/emulator/edge.h
@@ -10,11 +10,11 @@
 #include <string_view>
 
 #include "deadlines/deadlines.h"
-#include "net/connection.h"
-#include "standin/event.h"
-#include "standin/values.h"
+#include "emulator/event.h"
+#include "emulator/values.h"
+#include "transport/connection.h"
 
-namespace standin {
+namespace emulator {
 
 struct Condition {
     bool cut = false;        // nothing passes; what is under way passes once it is mended
@@ -110,4 +110,4 @@
     std::unique_ptr<sloestack::net::Listener> listener_;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/event.cpp
+++ b/emulator/event.cpp
@@ -1,8 +1,8 @@
-#include "standin/event.h"
+#include "emulator/event.h"
 
 #include <stdexcept>
 
-namespace standin {
+namespace emulator {
 
 NLOHMANN_JSON_SERIALIZE_ENUM(What, {{What::fault, "fault"},
                                     {What::asked, "asked"},
@@ -71,4 +71,4 @@
     }
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/event.h
+++ b/emulator/event.h
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace standin {
+namespace emulator {
 
 using Time = std::int64_t;  // Unix microseconds
 using Micros = std::int64_t;
@@ -57,4 +57,4 @@
     virtual void saw(const Event& event) = 0;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -1,4 +1,4 @@
-#include "standin/fleet.h"
+#include "emulator/fleet.h"
 
 #include <arpa/inet.h>
 
@@ -8,12 +8,12 @@
 #include <map>
 
 #include "conversation/conversation.h"
+#include "emulator/values.h"
 #include "pgwire/build.h"
 #include "pgwire/frame.h"
 #include "pgwire/statement.h"
-#include "standin/values.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace pgwire = sloestack::pgwire;
@@ -636,4 +636,4 @@
     job.peer->write(parameters(m, position) + row);
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/fleet.h
+++ b/emulator/fleet.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "deadlines/deadlines.h"
-#include "standin/bank.h"
-#include "standin/capacity.h"
-#include "standin/discovery.h"
-#include "standin/edge.h"
-#include "standin/event.h"
-#include "standin/script.h"
+#include "emulator/bank.h"
+#include "emulator/capacity.h"
+#include "emulator/discovery.h"
+#include "emulator/edge.h"
+#include "emulator/event.h"
+#include "emulator/script.h"
 
-namespace standin {
+namespace emulator {
 
 using sloestack::Deadline;
 using sloestack::Deadlines;
@@ -121,4 +121,4 @@
     Deadline roles_;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/load.cpp
+++ b/emulator/load.cpp
@@ -1,4 +1,4 @@
-#include "standin/load.h"
+#include "emulator/load.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "pgwire/build.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace pgwire = sloestack::pgwire;
@@ -333,4 +333,4 @@
     go(proxy, std::move(next));
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/load.h
+++ b/emulator/load.h
@@ -12,13 +12,13 @@
 
 #include "conversation/conversation.h"
 #include "deadlines/deadlines.h"
+#include "emulator/edge.h"
+#include "emulator/event.h"
+#include "emulator/readiness.h"
+#include "emulator/values.h"
 #include "histogram/histogram.h"
-#include "standin/edge.h"
-#include "standin/event.h"
-#include "standin/readiness.h"
-#include "standin/values.h"
 
-namespace standin {
+namespace emulator {
 
 // Clients that write a row and read it again, and must see what they wrote.
 struct SessionSettings {
@@ -124,4 +124,4 @@
     ClassCount counts_[kClassCount];
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/make.cpp
+++ b/emulator/make.cpp
@@ -1,4 +1,4 @@
-#include "standin/make.h"
+#include "emulator/make.h"
 
 #include <algorithm>
 #include <charconv>
@@ -13,15 +13,15 @@
 #include <stdexcept>
 #include <utility>
 
+#include "emulator/load.h"
+#include "emulator/values.h"
 #include "pgwire/build.h"
-#include "standin/load.h"
-#include "standin/values.h"
 #include "tds/login.h"
 #include "tds/request.h"
 #include "tds/token.h"
 #include "writer/writer.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace pcap = sloestack::pcap;
@@ -459,4 +459,4 @@
 
 Made make(const MakeSettings& settings, sloestack::pcap::Sink& out) { return Maker(settings, out).run(); }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/make.h
+++ b/emulator/make.h
@@ -8,7 +8,7 @@
 
 #include "pcap/file.h"
 
-namespace standin {
+namespace emulator {
 
 // What is done to one connection each, or to the whole file.
 enum class Damage {
@@ -60,4 +60,4 @@
 // Throws std::invalid_argument where there is no such dialect.
 Made make(const MakeSettings& settings, sloestack::pcap::Sink& out);
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/readiness.cpp
+++ b/emulator/readiness.cpp
@@ -1,9 +1,9 @@
-#include "standin/readiness.h"
+#include "emulator/readiness.h"
 
 #include "pgwire/build.h"
 #include "pgwire/frame.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 namespace net = sloestack::net;
@@ -52,4 +52,4 @@
     again_.set(host_.deadlines, host_.deadlines.now() + kLookAgain, [this] { open(); });
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/readiness.h
+++ b/emulator/readiness.h
@@ -4,9 +4,9 @@
 #include <functional>
 #include <memory>
 
-#include "standin/edge.h"
+#include "emulator/edge.h"
 
-namespace standin {
+namespace emulator {
 
 class Readiness final : public sloestack::net::ConnectionEvents {
 public:
@@ -28,4 +28,4 @@
     std::unique_ptr<Line> line_;
 };
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/script.cpp
+++ b/emulator/script.cpp
@@ -1,13 +1,13 @@
-#include "standin/script.h"
+#include "emulator/script.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
 #include <stdexcept>
 
-#include "standin/values.h"
+#include "emulator/values.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 constexpr std::pair<const char*, Trouble> kNames[] = {
@@ -115,4 +115,4 @@
     return text;
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/script.h
+++ b/emulator/script.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace standin {
+namespace emulator {
 
 enum class Trouble {
     crash,    // connections are reset, new ones refused
@@ -32,4 +32,4 @@
 std::vector<Fault> draw_script(std::uint64_t seed, int count, std::int64_t length_us, int banks, int members);
 std::string to_text(const Fault& fault);
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/settings.cpp
+++ b/emulator/settings.cpp
@@ -1,8 +1,8 @@
-#include "standin/settings.h"
+#include "emulator/settings.h"
 
-#include "standin/values.h"
+#include "emulator/values.h"
 
-namespace standin {
+namespace emulator {
 
 nlohmann::json proxy_config(const std::string& listen, const std::string& discovery,
                             const nlohmann::json& known, int sockets) {
@@ -75,4 +75,4 @@
     specifics["write-marks"] = brought ? "brought" : "kept";
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/settings.h
+++ b/emulator/settings.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace standin {
+namespace emulator {
 
 // As EDGE_CONFIG's file has it. `known` is discovery's whole list, or null.
 nlohmann::json proxy_config(const std::string& listen, const std::string& discovery,
@@ -13,4 +13,4 @@
 // Adds the class of session reads; `brought`: clients carry their last commit, else a proxy keeps it.
 void add_sessions(nlohmann::json& config, bool brought);
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/values.cpp
+++ b/emulator/values.cpp
@@ -1,4 +1,4 @@
-#include "standin/values.h"
+#include "emulator/values.h"
 
 #include <cmath>
 #include <cstdio>
@@ -6,7 +6,7 @@
 #include "pgwire/build.h"
 #include "tds/token.h"
 
-namespace standin {
+namespace emulator {
 namespace {
 
 constexpr std::uint32_t kBytea = 17;
@@ -129,4 +129,4 @@
     return out;
 }
 
-}  // namespace standin
+}  // namespace emulator
--- a/standin/values.h
+++ b/emulator/values.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace standin {
+namespace emulator {
 
 struct ClassModel {
     const char* name;
@@ -67,4 +67,4 @@
 // The same in TDS: columns, row and DONE, as the payload of a message.
 std::string tds_answer_of(std::string_view value);
 
-}  // namespace standin
+}  // namespace emulator
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,9 +1,9 @@
-#include <nettletrestle/router.h>
+#include <sloestack/router.h>
 
 #include <iostream>
 
 int main() {
-    using namespace nettletrestle;
+    using namespace sloestack::decision;
     Settings settings;
     ClassSettings read;
     read.need = Need::any;
--- a/rig/channel.cpp
+++ b/fault_harness/channel.cpp
@@ -1,8 +1,8 @@
-#include "rig/channel.h"
+#include "fault_harness/channel.h"
 
 #include <event2/util.h>
 
-namespace rig {
+namespace fault_harness {
 namespace {
 
 constexpr std::size_t kMostUnread = 1 << 20;
@@ -32,4 +32,4 @@
     ended_();
 }
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/channel.h
+++ b/fault_harness/channel.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
-#include "net/connection.h"
+#include "transport/connection.h"
 
-namespace rig {
+namespace fault_harness {
 
 class Channel final : public sloestack::net::ConnectionEvents {
 public:
@@ -28,4 +28,4 @@
     std::unique_ptr<sloestack::net::Connection> connection_;
 };
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/compare.cpp
+++ b/fault_harness/compare.cpp
@@ -1,4 +1,4 @@
-#include "rig/compare.h"
+#include "fault_harness/compare.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace rig {
+namespace fault_harness {
 namespace {
 
 using nlohmann::json;
@@ -134,4 +134,4 @@
     return out;
 }
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/compare.h
+++ b/fault_harness/compare.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace rig {
+namespace fault_harness {
 
 struct Interval {
     double mean = 0,
@@ -36,4 +36,4 @@
 // Files BUILD.SCENARIO.PROXIES.SEED.json in a folder; throws std::invalid_argument naming one that is none.
 std::vector<Sample> read_samples(const std::string& folder);
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/conductor.h
+++ b/fault_harness/conductor.h
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "rig/channel.h"
-#include "rig/folder.h"
-#include "rig/process.h"
-#include "rig/record.h"
-#include "standin/readiness.h"
+#include "emulator/readiness.h"
+#include "fault_harness/channel.h"
+#include "fault_harness/folder.h"
+#include "fault_harness/process.h"
+#include "fault_harness/record.h"
 
-namespace rig {
+namespace fault_harness {
 
 struct RunSettings {
     std::string folder;  // there already, and empty
@@ -56,14 +56,14 @@
     sloestack::Clock clock_;
     sloestack::net::Loop loop_;
     sloestack::Deadlines deadlines_{clock_};
-    standin::Random random_{1};
+    emulator::Random random_{1};
     Recorder recorder_;
-    std::vector<standin::Listed> members_;  // as the run begins: the list that proxies start with
-    int lock_ = -1;                         // holds the block of addresses
+    std::vector<emulator::Listed> members_;  // as the run begins: the list that proxies start with
+    int lock_ = -1;                          // holds the block of addresses
     std::vector<std::unique_ptr<Part>> parts_;
     std::vector<std::unique_ptr<Proxy>> proxies_;
     bool ending_ = false;
     std::string failure_;
 };
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/folder.cpp
+++ b/fault_harness/folder.cpp
@@ -1,11 +1,11 @@
-#include "rig/folder.h"
+#include "fault_harness/folder.h"
 
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
 #include <stdexcept>
 
-namespace rig {
+namespace fault_harness {
 
 std::string read_text(const std::string& path) {
     std::ifstream in(path);
@@ -47,4 +47,4 @@
     }
 }
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/folder.h
+++ b/fault_harness/folder.h
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "rig/scenario.h"
+#include "fault_harness/scenario.h"
 
-namespace rig {
+namespace fault_harness {
 
 struct Run {
     Plan plan;
@@ -18,4 +18,4 @@
 void write_run(const std::string& folder, const Run& run);  // throws std::runtime_error
 Run read_run(const std::string& folder);                    // throws std::invalid_argument
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/part.h
+++ b/fault_harness/part.h
@@ -4,11 +4,11 @@
 
 #include <string>
 
-namespace rig {
+namespace fault_harness {
 
 // A run's folder holds scenario.json, run.json (seed, block, proxies, parts) and what the processes record.
 // Returns when the conductor closes its channel (descriptor 3). `role`: discovery, members or clients.
 // Throws std::runtime_error, std::invalid_argument.
 void run_part(const std::string& folder, const std::string& role, int part);
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/process.cpp
+++ b/fault_harness/process.cpp
@@ -1,4 +1,4 @@
-#include "rig/process.h"
+#include "fault_harness/process.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace rig {
+namespace fault_harness {
 namespace {
 
 constexpr int kChannel = 3;
@@ -77,4 +77,4 @@
 
 std::string this_program() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/process.h
+++ b/fault_harness/process.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace rig {
+namespace fault_harness {
 
 struct Command {
     std::vector<std::string> words;      // the first is the program's path
@@ -38,4 +38,4 @@
 
 std::string this_program();  // its path
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/record.h
+++ b/fault_harness/record.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "standin/event.h"
+#include "emulator/event.h"
 
-namespace rig {
+namespace fault_harness {
 
-class Recorder final : public standin::Witness {
+class Recorder final : public emulator::Witness {
 public:
     explicit Recorder(const std::string& path);  // throws std::runtime_error where it cannot be written
-    void saw(const standin::Event& event) override;
+    void saw(const emulator::Event& event) override;
     void close();  // throws std::runtime_error where not all of it could be written
 
 private:
@@ -22,6 +22,6 @@
 };
 
 // All events in `folder`, by time; throws std::invalid_argument naming a file and line that is no event.
-std::vector<standin::Event> read_record(const std::string& folder);
+std::vector<emulator::Event> read_record(const std::string& folder);
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/report.h
+++ b/fault_harness/report.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace rig {
+namespace fault_harness {
 
 struct Verdict {
     std::vector<std::string> broken;  // rules
@@ -21,4 +21,4 @@
 // plot.png where gnuplot is there: false where it is not.
 bool plot(const std::string& folder);
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/scenario.h
+++ b/fault_harness/scenario.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "standin/discovery.h"
-#include "standin/fleet.h"
-#include "standin/load.h"
+#include "emulator/discovery.h"
+#include "emulator/fleet.h"
+#include "emulator/load.h"
 
-namespace rig {
+namespace fault_harness {
 
-using standin::Micros;
-using standin::Time;
+using emulator::Micros;
+using emulator::Time;
 
 enum class Do {
     kill,   // SIGKILL; started again at the end
@@ -45,7 +45,7 @@
     std::vector<int> proxies, members;  // those it concerns, sorted
     Ends edge = Ends::members;
     bool in = true, out = true;  // which ways of the edge: towards the stand-in, away from it
-    standin::Condition condition;
+    emulator::Condition condition;
     double slow_times = 1;
     std::string text() const;  // for records
 };
@@ -54,8 +54,8 @@
     int proxies = 1, zones = 1;
     double rate_per_s = 10, uneven = 1;
     Micros steady_from_us = 0, length_us = 0, notice_us = 1'000'000;
-    standin::FleetSettings fleet;
-    standin::SessionSettings sessions;
+    emulator::FleetSettings fleet;
+    emulator::SessionSettings sessions;
     Micros call_us = 0, entry_us = 0, longest_queue_us = 0;
     std::string text;  // as it was read
 
@@ -77,9 +77,9 @@
 constexpr std::uint16_t kProxyPort = 5433, kDiscoveryPort = 8500, kFirstMemberPort = 10'000;
 std::string host_of(int block, int proxy);  // of a proxy, and where it reaches everything else
 sockaddr_in proxy_address(int block, int proxy);
-standin::DiscoverySettings discovery_settings(const Scenario& scenario, int block);
-standin::FleetSettings fleet_settings(const Plan& plan, int block, int part, int parts);
-standin::LoadSettings load_settings(const Plan& plan, int block, int part, int parts);
+emulator::DiscoverySettings discovery_settings(const Scenario& scenario, int block);
+emulator::FleetSettings fleet_settings(const Plan& plan, int block, int part, int parts);
+emulator::LoadSettings load_settings(const Plan& plan, int block, int part, int parts);
 int zone_of(const Scenario& scenario, int proxy);
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/rig/tally.h
+++ b/fault_harness/tally.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "standin/event.h"
-#include "standin/values.h"
+#include "emulator/event.h"
+#include "emulator/values.h"
 
-namespace rig {
+namespace fault_harness {
 
-using standin::Micros;
-using standin::Time;
+using emulator::Micros;
+using emulator::Time;
 
 constexpr Micros kBin = 100'000;
 
@@ -51,7 +51,7 @@
 public:
     // `members` are in a bank; links that stand idle for `idle` are closed.
     Tally(int proxies, Time begins, Micros length, int members = 1, Micros idle = 15'000'000);
-    void saw(const standin::Event& event);
+    void saw(const emulator::Event& event);
 
     const std::vector<Bin>& of(int proxy) const { return bins_.at(static_cast<std::size_t>(proxy)); }
     std::vector<Bin> total() const;
@@ -68,7 +68,7 @@
 
 private:
     Bin* bin(int proxy, Time at);
-    bool needs_link(const standin::Event& arrived);
+    bool needs_link(const emulator::Event& arrived);
 
     Time begins_;
     int members_;
@@ -81,4 +81,4 @@
     std::vector<Micros> busy_;
 };
 
-}  // namespace rig
+}  // namespace fault_harness
--- a/include/nettletrestle/router.h
+++ b/include/sloestack/router.h
@@ -1,4 +1,4 @@
-// The interface of nettletrestle: what a router is told, what it answers, and the router itself.
+// The interface of the decision module: what a router is told, what it answers, and the router itself.
 // All times are microseconds on the caller's clock; names ending in _us are durations in microseconds.
 #pragma once
 
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-namespace nettletrestle {
+namespace sloestack::decision {
 
 using Time = std::int64_t;
 using Micros = std::int64_t;
@@ -211,4 +211,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace nettletrestle
+}  // namespace sloestack::decision
--- a/src/front/control/control.cpp
+++ b/src/admin/admin_server/admin_server.cpp
@@ -1,10 +1,10 @@
-#include "control/control.h"
+#include "admin_server/admin_server.h"
 
 #include <iterator>
 
 #include "log/log.h"
 
-namespace sloestack::control {
+namespace sloestack::admin {
 namespace {
 
 constexpr std::size_t kMostCalls = 8;  // open at once; their descriptors are the process's own
@@ -140,4 +140,4 @@
     out ? operated_.exclude(*member, done) : operated_.include(*member, done);
 }
 
-}  // namespace sloestack::control
+}  // namespace sloestack::admin
--- a/src/front/control/control.h
+++ b/src/admin/admin_server/admin_server.h
@@ -10,9 +10,9 @@
 
 #include "deadlines/deadlines.h"
 #include "http/request.h"
-#include "net/connection.h"
+#include "transport/connection.h"
 
-namespace sloestack::control {
+namespace sloestack::admin {
 
 class Operated {  // what the calls reach
 public:
@@ -52,4 +52,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace sloestack::control
+}  // namespace sloestack::admin
--- a/src/app/config/config.cpp
+++ b/src/app/config/config.cpp
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <fstream>
 
-#include "net/connection.h"
+#include "transport/connection.h"
 
 namespace sloestack::config {
 namespace {
--- a/src/app/ctl/rig.cpp
+++ b/src/app/ctl/emulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "ctl/rig.h"
+#include "ctl/emulated_fleet.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -13,9 +13,9 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "net/connection.h"
-#include "standin/readiness.h"
-#include "standin/settings.h"
+#include "emulator/readiness.h"
+#include "emulator/settings.h"
+#include "transport/connection.h"
 
 namespace sloestack::ctl {
 namespace {
@@ -43,22 +43,22 @@
 
 Rig::Rig(const RigSettings& settings)
     : settings_(settings), checker_(settings.rules), address_(free_address()) {
-    fleet_ = std::make_unique<standin::Fleet>(
+    fleet_ = std::make_unique<emulator::Fleet>(
         loop_, deadlines_, settings.fleet, checker_,
-        [this](const standin::Listed& l) { discovery_->update(l); },
+        [this](const emulator::Listed& l) { discovery_->update(l); },
         [this](Micros down_for) { kill_for(down_for); });
-    standin::DiscoverySettings of_discovery;
+    emulator::DiscoverySettings of_discovery;
     of_discovery.at = {*net::parse_address("127.0.0.1:0")};
     of_discovery.hosts = settings.fleet.hosts;
     discovery_ =
-        std::make_unique<standin::Discovery>(loop_, deadlines_, of_discovery, fleet_->list(), checker_);
+        std::make_unique<emulator::Discovery>(loop_, deadlines_, of_discovery, fleet_->list(), checker_);
     for (const auto& fault : settings.fleet.script) {
-        if (fault.trouble != standin::Trouble::lost) continue;
+        if (fault.trouble != emulator::Trouble::lost) continue;
         const auto now = deadlines_.now();
         lost_.set(deadlines_, now + fault.at_us,
-                  [this] { discovery_->set(standin::Discovery::State::gone); });
+                  [this] { discovery_->set(emulator::Discovery::State::gone); });
         found_.set(deadlines_, now + fault.at_us + fault.for_us,
-                   [this] { discovery_->set(standin::Discovery::State::up); });
+                   [this] { discovery_->set(emulator::Discovery::State::up); });
     }
     char folder[] = "/tmp/sloestack-rig-XXXXXX";
     if (!mkdtemp(static_cast<char*>(folder)))
@@ -66,13 +66,13 @@
     folder_ = static_cast<char*>(folder);
     const auto known = nlohmann::json::parse(discovery_->list(0, true, 0));
     std::ofstream(folder_ + "/config.json")
-        << standin::proxy_config(proxy_text(), discovery_->address(), known, settings.sockets).dump(2);
+        << emulator::proxy_config(proxy_text(), discovery_->address(), known, settings.sockets).dump(2);
     start();
     bool ready = false;
-    standin::Random random(1);
-    const standin::Edge edge;
-    const standin::Readiness readiness({loop_, deadlines_, random}, edge, address_,
-                                       [&ready] { ready = true; });
+    emulator::Random random(1);
+    const emulator::Edge edge;
+    const emulator::Readiness readiness({loop_, deadlines_, random}, edge, address_,
+                                        [&ready] { ready = true; });
     const auto hopeless = deadlines_.now() + kComesUp;
     run([&] {
         if (process_.ended())
@@ -94,9 +94,9 @@
 }
 
 void Rig::start() {
-    rig::Command command;
-    command.words = {(std::filesystem::path(rig::this_program()).parent_path() / "sloestack").string(),
-                     "serve"};
+    fault_harness::Command command;
+    command.words = {
+        (std::filesystem::path(fault_harness::this_program()).parent_path() / "sloestack").string(), "serve"};
     command.variables = {"EDGE_CONFIG=" + folder_ + "/config.json"};
     command.shown = settings_.verbose;
     process_.start(command);
--- a/src/app/ctl/rig.h
+++ b/src/app/ctl/emulated_fleet.h
@@ -7,18 +7,18 @@
 #include <string>
 
 #include "deadlines/deadlines.h"
-#include "net/loop.h"
-#include "rig/process.h"
-#include "standin/checker.h"
-#include "standin/fleet.h"
+#include "emulator/checker.h"
+#include "emulator/fleet.h"
+#include "fault_harness/process.h"
+#include "transport/loop.h"
 
 namespace sloestack::ctl {
 
 struct RigSettings {
-    standin::FleetSettings fleet;
+    emulator::FleetSettings fleet;
     bool verbose = false;  // the proxy's log goes to standard error
     int sockets = 8192;
-    standin::Rules rules;
+    emulator::Rules rules;
 };
 
 class Rig {
@@ -33,8 +33,8 @@
     std::string proxy_text() const;
     net::Loop& loop() { return loop_; }
     Deadlines& deadlines() { return deadlines_; }
-    standin::Checker& checker() { return checker_; }
-    standin::Fleet& fleet() { return *fleet_; }
+    emulator::Checker& checker() { return checker_; }
+    emulator::Fleet& fleet() { return *fleet_; }
     std::string discovery() const { return discovery_->address(); }
     // Takes turns until it holds; `work` is done in each.
     void run(const std::function<bool()>& until, const std::function<void()>& work = {});
@@ -51,13 +51,13 @@
     Clock clock_;
     net::Loop loop_;
     Deadlines deadlines_{clock_};
-    standin::Checker checker_;
-    std::unique_ptr<standin::Discovery> discovery_;
-    std::unique_ptr<standin::Fleet> fleet_;
+    emulator::Checker checker_;
+    std::unique_ptr<emulator::Discovery> discovery_;
+    std::unique_ptr<emulator::Fleet> fleet_;
     Deadline lost_, found_;
     sockaddr_in address_{};
     std::string folder_;
-    rig::Process process_;
+    fault_harness::Process process_;
     Deadline again_;
 };
 
--- a/src/app/ctl/fleet.cpp
+++ b/src/app/ctl/fleet.cpp
@@ -7,11 +7,11 @@
 #include <iostream>
 
 #include "ctl/command.h"
-#include "rig/compare.h"
-#include "rig/conductor.h"
-#include "rig/folder.h"
-#include "rig/part.h"
-#include "rig/report.h"
+#include "fault_harness/compare.h"
+#include "fault_harness/conductor.h"
+#include "fault_harness/folder.h"
+#include "fault_harness/part.h"
+#include "fault_harness/report.h"
 
 namespace sloestack::ctl {
 namespace {
@@ -32,11 +32,11 @@
     return out;
 }
 
-int told(const rig::Verdict& verdict, bool as_json) {
+int told(const fault_harness::Verdict& verdict, bool as_json) {
     if (as_json)
         std::cout << verdict.figures.dump(2) << "\n";
     else
-        rig::print(verdict);
+        fault_harness::print(verdict);
     return verdict.broken.empty() ? kGood : kFound;
 }
 
@@ -71,16 +71,18 @@
     const int proxies = parsed->count("proxies") ? (*parsed)["proxies"].as<int>() : 0;
     if (parsed->count("proxies") && (proxies < 1 || proxies > kMostProxies))
         throw BadCall("--proxies must lie between 1 and " + std::to_string(kMostProxies));
-    rig::RunSettings settings;
-    settings.plan = rig::draw(rig::Scenario::read(rig::read_text(required(*parsed, "file")), proxies),
-                              (*parsed)["seed"].as<std::uint64_t>());
-    settings.proxy = parsed->count("program")
-                         ? (*parsed)["program"].as<std::string>()
-                         : (std::filesystem::path(rig::this_program()).parent_path() / "sloestack").string();
+    fault_harness::RunSettings settings;
+    settings.plan = fault_harness::draw(
+        fault_harness::Scenario::read(fault_harness::read_text(required(*parsed, "file")), proxies),
+        (*parsed)["seed"].as<std::uint64_t>());
+    settings.proxy =
+        parsed->count("program")
+            ? (*parsed)["program"].as<std::string>()
+            : (std::filesystem::path(fault_harness::this_program()).parent_path() / "sloestack").string();
     if (access(settings.proxy.c_str(), X_OK) != 0) throw BadCall(settings.proxy + " cannot be started");
     settings.folder = folder_of(*parsed);
-    rig::Conductor(settings).play();
-    const int out = told(rig::judge(settings.folder, slack), parsed->count("json") > 0);
+    fault_harness::Conductor(settings).play();
+    const int out = told(fault_harness::judge(settings.folder, slack), parsed->count("json") > 0);
     const bool keep = parsed->count("out") || parsed->count("keep");
     if (!keep) std::filesystem::remove_all(settings.folder);
     if (keep && !parsed->count("json")) std::printf("record: %s\n", settings.folder.c_str());
@@ -95,8 +97,8 @@
     const auto parsed = parse(options, arguments, {"folder"});
     if (!parsed) return kGood;
     const auto folder = required(*parsed, "folder");
-    const int out = told(rig::judge(folder, slack_us(*parsed)), parsed->count("json") > 0);
-    if (parsed->count("plot") && !rig::plot(folder))
+    const int out = told(fault_harness::judge(folder, slack_us(*parsed)), parsed->count("json") > 0);
+    if (parsed->count("plot") && !fault_harness::plot(folder))
         std::cerr << "sloestackctl: no plot was made: gnuplot failed\n";
     return out;
 }
@@ -107,8 +109,9 @@
     options.add_options()("seed", "of faults and draws", cxxopts::value<std::uint64_t>()->default_value("1"));
     const auto parsed = parse(options, arguments, {"file"});
     if (!parsed) return kGood;
-    const auto plan = rig::draw(rig::Scenario::read(rig::read_text(required(*parsed, "file"))),
-                                (*parsed)["seed"].as<std::uint64_t>());
+    const auto plan = fault_harness::draw(
+        fault_harness::Scenario::read(fault_harness::read_text(required(*parsed, "file"))),
+        (*parsed)["seed"].as<std::uint64_t>());
     for (const auto& step : plan.steps)
         std::printf("%8.3f to %8.3f s: %s\n", static_cast<double>(step.at_us) / 1e6,
                     static_cast<double>(step.end_us) / 1e6, step.text().c_str());
@@ -125,7 +128,8 @@
     std::vector<std::string> names = {required(*parsed, "first")};
     if (parsed->count("second")) names.push_back((*parsed)["second"].as<std::string>());
     std::string title;
-    for (const auto& row : rig::compare(rig::read_samples(required(*parsed, "folder")), names)) {
+    for (const auto& row :
+         fault_harness::compare(fault_harness::read_samples(required(*parsed, "folder")), names)) {
         const auto head = row.scenario + ", " + std::to_string(row.proxies) + " proxies";
         if (head != title) std::printf("%s%s\n", title.empty() ? "" : "\n", head.c_str());
         title = head;
@@ -145,7 +149,8 @@
         "number", "which of them", cxxopts::value<int>()->default_value("0"));
     const auto parsed = parse(options, arguments, {"folder"});
     if (!parsed) return kGood;
-    rig::run_part(required(*parsed, "folder"), required(*parsed, "role"), (*parsed)["number"].as<int>());
+    fault_harness::run_part(required(*parsed, "folder"), required(*parsed, "role"),
+                            (*parsed)["number"].as<int>());
     return kGood;
 }
 
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 
 #include "ctl/play.h"
-#include "standin/make.h"
+#include "emulator/make.h"
 
 namespace sloestack::ctl {
 namespace {
@@ -59,12 +59,12 @@
         "clients", "connections at once, at least", cxxopts::value<std::size_t>()->default_value("0"))(
         "faults",
         "damage to a connection each, separated by commas, NAME*N for N connections: " +
-            standin::damage_names(),
+            emulator::damage_names(),
         cxxopts::value<std::string>()->default_value(""))(
         "o,output", "the file", cxxopts::value<std::string>())("json", "report as JSON");
     const auto parsed = parse(options, arguments, {});
     if (!parsed) return kGood;
-    standin::MakeSettings settings;
+    emulator::MakeSettings settings;
     const auto minutes = (*parsed)["minutes"].as<double>();
     settings.rate = (*parsed)["rate"].as<double>();
     settings.groups = (*parsed)["groups"].as<int>();
@@ -79,12 +79,12 @@
     settings.seed = (*parsed)["seed"].as<std::uint64_t>();
     settings.dialect = (*parsed)["dialect"].as<std::string>();
     conversation::language(settings.dialect);  // that there is one is checked before a file is made
-    settings.damage = standin::parse_damage((*parsed)["faults"].as<std::string>());
+    settings.damage = emulator::parse_damage((*parsed)["faults"].as<std::string>());
     const auto path = required(*parsed, "output");
     pcap::File file(path);
-    const auto made = standin::make(settings, file);
+    const auto made = emulator::make(settings, file);
     file.close();
-    if (std::find(settings.damage.begin(), settings.damage.end(), standin::Damage::truncate) !=
+    if (std::find(settings.damage.begin(), settings.damage.end(), emulator::Damage::truncate) !=
         settings.damage.end())
         std::filesystem::resize_file(path, std::filesystem::file_size(path) - kCutRecord);
     if (!made.not_done.empty())
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -48,7 +48,7 @@
     }
     if (command == "check") {
         const auto config = config::load_from_environment();
-        const nettletrestle::Router tried(config.settings.router, config.seed);
+        const sloestack::decision::Router tried(config.settings.router, config.seed);
         std::cout << "configuration of " << config.name << " can be served\n";
         return 0;
     }
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -4,10 +4,10 @@
 #include <csignal>
 #include <stdexcept>
 
-#include "calls/calls.h"
+#include "discovery_poll_schedule.h"
 #include "invariant/invariant.h"
 #include "log/log.h"
-#include "members/link.h"
+#include "postgres/link.h"
 
 namespace sloestack::server {
 namespace {
@@ -24,8 +24,8 @@
 upstream::PoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& s) {
     upstream::PoolSettings out;
     out.link = [&loop](const sockaddr_in& to, net::Slot slot, upstream::LinkEvents& events) {
-        return std::make_unique<members::Link>(loop, to, std::move(slot),
-                                               members::Link::User{kUser, kDatabase}, events);
+        return std::make_unique<postgres::Link>(loop, to, std::move(slot),
+                                                postgres::Link::User{kUser, kDatabase}, events);
     };
     if (s.connect_timeout_us > 0) out.connect_timeout_us = s.connect_timeout_us;
     if (s.idle_limit_us > 0) out.idle_limit_us = s.idle_limit_us;
@@ -34,7 +34,7 @@
 }
 
 // On sockets a refusal always has a field for advice, whatever the simulator's settings say of its own wire.
-nettletrestle::Settings module_settings(nettletrestle::Settings s) {
+decision::Settings module_settings(decision::Settings s) {
     s.tells_retry_after = true;
     // And lists always have to be asked for; where they are pushed, of an agent of the proxy's own.
     s.own_agent = !s.list_on_request;
@@ -42,20 +42,20 @@
     return s;
 }
 
-bool sessions_named(const nettletrestle::Settings& s) {
+bool sessions_named(const decision::Settings& s) {
     return std::any_of(s.classes.begin(), s.classes.end(),
-                       [](const auto& c) { return c.need == nettletrestle::Need::session; });
+                       [](const auto& c) { return c.need == decision::Need::session; });
 }
 
 // Reads that may be repeated change nothing that another read could tell.
-std::vector<bool> overlapping(const nettletrestle::Settings& s) {
+std::vector<bool> overlapping(const decision::Settings& s) {
     std::vector<bool> out;
     for (const auto& c : s.classes)
-        out.push_back(c.effect == nettletrestle::Effect::safe && c.need != nettletrestle::Need::write);
+        out.push_back(c.effect == decision::Effect::safe && c.need != decision::Need::write);
     return out;
 }
 
-Micros longest_wait(const nettletrestle::Settings& s) {
+Micros longest_wait(const decision::Settings& s) {
     Micros out = 0;
     for (const auto& c : s.classes) out = std::max(out, c.deadline_us);
     return out;
@@ -107,20 +107,20 @@
       waits_for_list_(!config.settings.router.list_on_request) {
     watch_ = std::make_unique<discovery::Watch>(
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
-        bans_, nettletrestle::route::CallTimes(module_settings(config.settings.router), config.seed));
+        bans_, decision::CallTimes(module_settings(config.settings.router), config.seed));
     proxy_.attach({pool_, [this] { watch_->start(); },
                    [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
-    client_listener_ = std::make_unique<clients::ClientListener>(
-        loop_, deadlines_, clients::ClientListener::Quotas{clients_, overflow_, lingering_}, account_, room_,
-        numbers_, clients::Entrance{config.listen, config.passed_socket}, proxy_, config.settings.class_names,
-        overlapping(config.settings.router), sessions_named(config.settings.router),
-        longest_wait(config.settings.router), config.seed);
+    client_listener_ = std::make_unique<downstream::ClientListener>(
+        loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
+        room_, numbers_, downstream::Entrance{config.listen, config.passed_socket}, proxy_,
+        config.settings.class_names, overlapping(config.settings.router),
+        sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
-        control_ = std::make_unique<control::Door>(loop_, deadlines_, *config.control,
-                                                   static_cast<control::Operated&>(*this));
+        control_ = std::make_unique<admin::Door>(loop_, deadlines_, *config.control,
+                                                 static_cast<admin::Operated&>(*this));
     if (config.passed_socket && !config.scratch.empty()) {
-        succession_ = std::make_unique<succession::Succession>(loop_, deadlines_, tie_path(config),
-                                                               static_cast<succession::Estate&>(*this));
+        succession_ = std::make_unique<hot_restart::Succession>(loop_, deadlines_, tie_path(config),
+                                                                static_cast<hot_restart::Estate&>(*this));
         succession_->start();
     } else {
         begin();
@@ -131,7 +131,7 @@
 // ---- the processes of one proxy ----
 // The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
 void Server::begin() {
-    bans_.listed(nettletrestle::ListKind::cached, std::move(known_.members));
+    bans_.listed(decision::ListKind::cached, std::move(known_.members));
     begun_ = true;
     proxy_.turn();
     if (!waits_for_list_) client_listener_->open();
@@ -153,7 +153,7 @@
 
 // ---- what operators call ----
 std::string Server::figures() const {
-    numbers::State now;
+    metrics::State now;
     now.active = proxy_.open_requests();
     now.pool_size = bans_.listed_members();
     now.pool_ejected = bans_.listed_and_banned() + proxy_.members_avoided();
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -3,22 +3,22 @@
 
 #include <functional>
 
-#include "bans/bans.h"
-#include "clients/client_listener.h"
+#include "admin_server/admin_server.h"
 #include "config/config.h"
-#include "control/control.h"
+#include "connection_pool/pool.h"
 #include "discovery/list.h"
 #include "discovery/watch.h"
-#include "net/loop.h"
-#include "net/quota.h"
-#include "numbers/numbers.h"
-#include "proxy/proxy.h"
-#include "succession/succession.h"
-#include "upstream/pool.h"
+#include "dispatch_loop/dispatch_loop.h"
+#include "exclusions/exclusions.h"
+#include "hot_restart/hot_restart.h"
+#include "metrics/metrics.h"
+#include "sessions/client_listener.h"
+#include "transport/loop.h"
+#include "transport/quota.h"
 
 namespace sloestack::server {
 
-class Server final : private control::Operated, private succession::Estate {
+class Server final : private admin::Operated, private hot_restart::Estate {
 public:
     // Throws config::BadConfig, or std::runtime_error where the address cannot be listened on. The clock
     // outlives it.
@@ -63,9 +63,9 @@
     net::Quota clients_, overflow_, lingering_, members_;
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
     net::Room room_;            // for large statements
-    numbers::Numbers numbers_;
-    proxy::Proxy proxy_;
-    bans::Bans bans_{proxy_};
+    metrics::Numbers numbers_;
+    dispatch::Proxy proxy_;
+    exclusions::Bans bans_{proxy_};
     upstream::Pool pool_;
     discovery::Reader lists_;
     discovery::List known_;  // until it begins
@@ -73,9 +73,9 @@
     std::string discovery_;  // as the file named it last
     bool begun_ = false;
     bool waits_for_list_;  // clients are let in once discovery has been heard, or has failed to answer
-    std::unique_ptr<clients::ClientListener> client_listener_;
-    std::unique_ptr<control::Door> control_;
-    std::unique_ptr<succession::Succession> succession_;
+    std::unique_ptr<downstream::ClientListener> client_listener_;
+    std::unique_ptr<admin::Door> control_;
+    std::unique_ptr<hot_restart::Succession> succession_;
     Deadline report_;
     std::uint64_t told_ = 0;  // how much had been counted when the log last told the figures
 };
--- a/src/base/deadlines/clock.h
+++ b/src/base/deadlines/clock.h
@@ -4,12 +4,12 @@
 
 #include <chrono>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
 namespace sloestack {
 
-using nettletrestle::Micros;
-using nettletrestle::Time;
+using decision::Micros;
+using decision::Time;
 
 class Clock {
 public:
--- a/src/base/numbers/numbers.cpp
+++ b/src/base/metrics/metrics.cpp
@@ -1,16 +1,16 @@
-#include "numbers/numbers.h"
+#include "metrics/metrics.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace sloestack::numbers {
+namespace sloestack::metrics {
 namespace {
 
 // Every name from the start: a reader need not know which may come later.
 template <class What, std::size_t N>
 nlohmann::json by_name(const std::array<std::uint64_t, N>& counts) {
     auto out = nlohmann::json::object();
-    for (std::size_t i = 0; i < N; ++i) out[nettletrestle::name(static_cast<What>(i))] = counts[i];
+    for (std::size_t i = 0; i < N; ++i) out[decision::name(static_cast<What>(i))] = counts[i];
     return out;
 }
 
@@ -33,11 +33,11 @@
     if (auto* c = find(klass)) count(c->tries);
 }
 
-void Numbers::given_up(int klass, nettletrestle::Cause cause) {
+void Numbers::given_up(int klass, decision::Cause cause) {
     if (auto* c = find(klass)) count(c->causes[static_cast<std::size_t>(cause)]);
 }
 
-void Numbers::ended(int klass, nettletrestle::Outcome outcome) {
+void Numbers::ended(int klass, decision::Outcome outcome) {
     if (auto* c = find(klass)) count(c->outcomes[static_cast<std::size_t>(outcome)]);
 }
 
@@ -50,8 +50,8 @@
                              {"errors", c.answers[errors]},
                              {"tries", c.tries}};
         tries += c.tries;
-        reasons[c.name] = by_name<nettletrestle::Cause>(c.causes);
-        results[c.name] = by_name<nettletrestle::Outcome>(c.outcomes);
+        reasons[c.name] = by_name<decision::Cause>(c.causes);
+        results[c.name] = by_name<decision::Outcome>(c.outcomes);
     }
     return nlohmann::json{{"responses", responses},
                           {"reasons", reasons},
@@ -63,4 +63,4 @@
         .dump();
 }
 
-}  // namespace sloestack::numbers
+}  // namespace sloestack::metrics
--- a/src/base/numbers/numbers.h
+++ b/src/base/metrics/metrics.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace sloestack::numbers {
+namespace sloestack::metrics {
 
 // What is so now and is not counted up.
 struct State {
@@ -28,8 +28,8 @@
     // A class is its place among the names; one that is unknown (-1) is not counted.
     void answered(int klass, What what);
     void tried(int klass);
-    void given_up(int klass, nettletrestle::Cause cause);
-    void ended(int klass, nettletrestle::Outcome outcome);
+    void given_up(int klass, decision::Cause cause);
+    void ended(int klass, decision::Outcome outcome);
     std::uint64_t counted() const { return counted_; }  // all of these together
     std::string json(const State& state) const;
 
@@ -37,8 +37,8 @@
     struct Class {
         std::string name;
         std::uint64_t answers[3] = {}, tries = 0;
-        std::array<std::uint64_t, nettletrestle::kCauses> causes = {};
-        std::array<std::uint64_t, nettletrestle::kOutcomes> outcomes = {};
+        std::array<std::uint64_t, decision::kCauses> causes = {};
+        std::array<std::uint64_t, decision::kOutcomes> outcomes = {};
     };
     Class* find(int klass);
     void count(std::uint64_t& what) { ++what, ++counted_; }
@@ -46,4 +46,4 @@
     std::uint64_t counted_ = 0;
 };
 
-}  // namespace sloestack::numbers
+}  // namespace sloestack::metrics
--- a/src/core/proxy/proxy.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -1,24 +1,23 @@
-#include "proxy/proxy.h"
+#include "dispatch_loop/dispatch_loop.h"
 
 #include <algorithm>
 
 #include "invariant/invariant.h"
 #include "log/log.h"
 
-namespace sloestack::proxy {
+namespace sloestack::dispatch {
 namespace {
 
-namespace module = nettletrestle;
-using module::ListKind;
-using module::Outcome;
+using decision::ListKind;
+using decision::Outcome;
 
 // How long after a client's deadline the module may still be about to answer; within the slack of the rules.
 constexpr Micros kOverdue = 30'000;
 
 }  // namespace
 
-Proxy::Proxy(Deadlines& deadlines, const module::Settings& settings, std::uint64_t seed,
-             numbers::Numbers& numbers)
+Proxy::Proxy(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
+             metrics::Numbers& numbers)
     : deadlines_(deadlines), numbers_(numbers), router_(settings, seed) {}
 
 void Proxy::attach(Hands hands) { hands_.emplace(std::move(hands)); }
@@ -61,7 +60,7 @@
     if (started >= 0)
         hands_->members.cancel(request, started);
     else
-        events_.emplace_back(module::ClientGone{request});
+        events_.emplace_back(decision::ClientGone{request});
 }
 
 bool Proxy::still_wanted(traffic::RequestId request) {
@@ -72,7 +71,7 @@
     return false;
 }
 
-bool Proxy::answer_started(const module::AnswerStarted& start, const traffic::Value& head, std::size_t size,
+bool Proxy::answer_started(const decision::AnswerStarted& start, const traffic::Value& head, std::size_t size,
                            traffic::Source& source) {
     const auto found = open_.find(start.request);
     if (found == open_.end() || !found->second.sink || found->second.started >= 0) return false;
@@ -88,7 +87,7 @@
     if (found != open_.end() && found->second.sink) found->second.sink->piece(bytes);
 }
 
-void Proxy::attempt_ended(const module::AttemptEnded& end, std::optional<traffic::Value> value) {
+void Proxy::attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::Value> value) {
     auto event = end;
     SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
     const auto found = open_.find(end.request);
@@ -108,26 +107,26 @@
     events_.emplace_back(event);
 }
 
-void Proxy::probe_ended(const module::ProbeEnded& end) { events_.emplace_back(end); }
+void Proxy::probe_ended(const decision::ProbeEnded& end) { events_.emplace_back(end); }
 
 void Proxy::listed(ListKind kind, std::vector<traffic::Entry> entries) {
     if (kind != ListKind::changes) ready_.clear();
-    auto servers = std::make_shared<std::vector<module::ServerEntry>>();
+    auto servers = std::make_shared<std::vector<decision::ServerEntry>>();
     for (const auto& e : entries) {
         servers->push_back(e.server);
-        if (e.server.state == module::ServerState::ready)
+        if (e.server.state == decision::ServerState::ready)
             ready_.insert(e.server.server);
         else
             ready_.erase(e.server.server);
         groups_.insert(e.server.group);
     }
     // Told to the module first: attempts that the change takes back are decided anew by the new list.
-    events_.emplace_back(module::ServerList{kind, std::move(servers)});
+    events_.emplace_back(decision::ServerList{kind, std::move(servers)});
     hands_->list_changed(kind, entries);
 }
 
-void Proxy::call_failed(const module::FailedCall& call) {
-    events_.emplace_back(module::ServerList{ListKind::failed, nullptr, call});
+void Proxy::call_failed(const decision::FailedCall& call) {
+    events_.emplace_back(decision::ServerList{ListKind::failed, nullptr, call});
 }
 
 // ---- actions ----
@@ -141,7 +140,7 @@
     return sink;
 }
 
-void Proxy::act(const module::Send& a) {
+void Proxy::act(const decision::Send& a) {
     const auto found = open_.find(a.request);
     if (!SLOESTACK_INVARIANT(found != open_.end(), "the module sends only what is open")) return;
     auto& open = found->second;
@@ -149,7 +148,7 @@
     if (!open.sink) {
         // Answered or left by its client in the round that had the module send it again. Guards against an
         // attempt whose end the module waits for without end, taking its member to be silent.
-        module::AttemptEnded e;
+        decision::AttemptEnded e;
         e.request = a.request;
         e.attempt = open.attempts++;
         e.server = a.server;
@@ -169,36 +168,36 @@
     hands_->members.send(attempt);
 }
 
-traffic::ResponseSink* Proxy::give_up(traffic::RequestId request, module::Cause cause) {
+traffic::ResponseSink* Proxy::give_up(traffic::RequestId request, decision::Cause cause) {
     auto* sink = close(request);
     if (sink) numbers_.given_up(open_.at(request).klass, cause);
     return sink;
 }
 
-void Proxy::act(const module::Refuse& a) {
+void Proxy::act(const decision::Refuse& a) {
     if (auto* sink = give_up(a.request, a.cause)) sink->refused(a.retry_after_us);
 }
 
-void Proxy::act(const module::Fail& a) {
+void Proxy::act(const decision::Fail& a) {
     if (auto* sink = give_up(a.request, a.cause)) sink->failed();
 }
 
-void Proxy::act(const module::Cancel& a) { hands_->members.cancel(a.request, a.attempt); }
+void Proxy::act(const decision::Cancel& a) { hands_->members.cancel(a.request, a.attempt); }
 
-void Proxy::act(const module::SetTimer& a) {
+void Proxy::act(const decision::SetTimer& a) {
     deadlines_.add(deadlines_.now() + a.delay_us,
-                   [this, token = a.token] { events_.emplace_back(module::TimerFired{token}); });
+                   [this, token = a.token] { events_.emplace_back(decision::TimerFired{token}); });
 }
 
-void Proxy::act(const module::Probe& a) { hands_->members.probe(a.server); }
-void Proxy::act(const module::WatchList&) { hands_->watch_list(); }
-void Proxy::act(const module::Log& a) { log::line("module", a.text); }
+void Proxy::act(const decision::Probe& a) { hands_->members.probe(a.server); }
+void Proxy::act(const decision::WatchList&) { hands_->watch_list(); }
+void Proxy::act(const decision::Log& a) { log::line("module", a.text); }
 
 // Every request is answered in time, whatever the module does: one it has left lying is failed and counted.
 void Proxy::overdue(traffic::RequestId request) {
     SLOESTACK_INVARIANT(false, "the module answers every request in time");
-    events_.emplace_back(module::ClientGone{request});
+    events_.emplace_back(decision::ClientGone{request});
     if (auto* sink = close(request)) sink->failed();
 }
 
-}  // namespace sloestack::proxy
+}  // namespace sloestack::dispatch
--- a/src/core/proxy/proxy.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -9,23 +9,23 @@
 #include <vector>
 
 #include "deadlines/deadlines.h"
-#include "nettletrestle/router.h"
-#include "numbers/numbers.h"
+#include "metrics/metrics.h"
+#include "sloestack/router.h"
 #include "traffic/traffic.h"
 
-namespace sloestack::proxy {
+namespace sloestack::dispatch {
 
 // What the proxy can act on; named once all of it stands.
 struct Hands {
     traffic::Members& members;
     std::function<void()> watch_list;
-    std::function<void(nettletrestle::ListKind, const std::vector<traffic::Entry>&)> list_changed;
+    std::function<void(decision::ListKind, const std::vector<traffic::Entry>&)> list_changed;
 };
 
 class Proxy final : public traffic::RequestDispatcher, public traffic::Results, public traffic::ListReader {
 public:
-    Proxy(Deadlines& deadlines, const nettletrestle::Settings& settings, std::uint64_t seed,
-          numbers::Numbers& numbers);
+    Proxy(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
+          metrics::Numbers& numbers);
 
     void attach(Hands hands);
     // Sweeps the deadlines and lets the module decide until nothing new has happened.
@@ -39,15 +39,15 @@
     bool able_to_serve() const override { return !ready_.empty(); }
     bool knows_group(int group) const override { return groups_.count(group) > 0; }
     // Results
-    bool answer_started(const nettletrestle::AnswerStarted& start, const traffic::Value& head,
-                        std::size_t size, traffic::Source& source) override;
+    bool answer_started(const decision::AnswerStarted& start, const traffic::Value& head, std::size_t size,
+                        traffic::Source& source) override;
     void piece(traffic::RequestId request, std::string_view bytes) override;
-    void attempt_ended(const nettletrestle::AttemptEnded& end, std::optional<traffic::Value> value) override;
-    void probe_ended(const nettletrestle::ProbeEnded& end) override;
+    void attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::Value> value) override;
+    void probe_ended(const decision::ProbeEnded& end) override;
     bool still_wanted(traffic::RequestId request) override;
     // ListReader
-    void listed(nettletrestle::ListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const nettletrestle::FailedCall& call) override;
+    void listed(decision::ListKind kind, std::vector<traffic::Entry> entries) override;
+    void call_failed(const decision::FailedCall& call) override;
 
 private:
     struct Open {
@@ -61,26 +61,26 @@
     };
 
     void step();
-    void act(const nettletrestle::Send& a);
-    void act(const nettletrestle::Refuse& a);
-    void act(const nettletrestle::Fail& a);
-    void act(const nettletrestle::Cancel& a);
-    void act(const nettletrestle::SetTimer& a);
-    void act(const nettletrestle::Probe& a);
-    void act(const nettletrestle::WatchList& a);
-    void act(const nettletrestle::Log& a);
+    void act(const decision::Send& a);
+    void act(const decision::Refuse& a);
+    void act(const decision::Fail& a);
+    void act(const decision::Cancel& a);
+    void act(const decision::SetTimer& a);
+    void act(const decision::Probe& a);
+    void act(const decision::WatchList& a);
+    void act(const decision::Log& a);
     // Takes the request's sink, which is answered next; nothing where that has happened.
     traffic::ResponseSink* close(traffic::RequestId request);
     // The same, for a request that the module gives up.
-    traffic::ResponseSink* give_up(traffic::RequestId request, nettletrestle::Cause cause);
+    traffic::ResponseSink* give_up(traffic::RequestId request, decision::Cause cause);
     void overdue(traffic::RequestId request);
 
     Deadlines& deadlines_;
-    numbers::Numbers& numbers_;
-    nettletrestle::Router router_;
+    metrics::Numbers& numbers_;
+    decision::Router router_;
     std::optional<Hands> hands_;
-    std::vector<nettletrestle::Event> events_, stepping_;
-    std::vector<nettletrestle::Action> actions_;
+    std::vector<decision::Event> events_, stepping_;
+    std::vector<decision::Action> actions_;
     std::unordered_map<traffic::RequestId, Open> open_;
     std::vector<traffic::RequestId> closed_;  // kept until the module has been told
     traffic::RequestId last_ = 0;
@@ -88,4 +88,4 @@
     std::unordered_set<traffic::ServerId> ready_;
 };
 
-}  // namespace sloestack::proxy
+}  // namespace sloestack::dispatch
--- a/src/core/settings/settings.cpp
+++ b/src/core/settings/settings.cpp
@@ -8,7 +8,7 @@
 namespace sloestack::settings {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 using Table = std::map<std::string, std::string, std::less<>>;
 
 [[noreturn]] void bad(const std::string& key, const std::string& why) {
--- a/src/core/traffic/traffic.h
+++ b/src/core/traffic/traffic.h
@@ -11,14 +11,14 @@
 #include <string_view>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
 namespace sloestack::traffic {
 
-using nettletrestle::Micros;
-using nettletrestle::RequestId;
-using nettletrestle::ServerId;
-using nettletrestle::Time;
+using decision::Micros;
+using decision::RequestId;
+using decision::ServerId;
+using decision::Time;
 
 // The statement as the client worded it, and where in it the time left stands: the one part that changes on
 // its way to a member.
@@ -33,7 +33,7 @@
 };
 
 struct Request {
-    nettletrestle::Arrival arrival;  // the proxy gives it its number
+    decision::Arrival arrival;  // the proxy gives it its number
     std::shared_ptr<const Statement> statement;
 };
 
@@ -106,12 +106,12 @@
 public:
     // An answer too large to be gathered: its bytes follow in pieces, and its end as that of any attempt,
     // with a value that holds the tag. False where nobody wants it any more.
-    virtual bool answer_started(const nettletrestle::AnswerStarted& start, const Value& head,
-                                std::size_t size, Source& source) = 0;
+    virtual bool answer_started(const decision::AnswerStarted& start, const Value& head, std::size_t size,
+                                Source& source) = 0;
     virtual void piece(RequestId request, std::string_view bytes) = 0;
     // `value` is there if and only if the outcome is ok.
-    virtual void attempt_ended(const nettletrestle::AttemptEnded& end, std::optional<Value> value) = 0;
-    virtual void probe_ended(const nettletrestle::ProbeEnded& end) = 0;
+    virtual void attempt_ended(const decision::AttemptEnded& end, std::optional<Value> value) = 0;
+    virtual void probe_ended(const decision::ProbeEnded& end) = 0;
     // Whether the request still waits for its answer and its client is there: asked again before an attempt's
     // first byte. A request whose client has left is withdrawn by that.
     virtual bool still_wanted(RequestId request) = 0;
@@ -123,14 +123,14 @@
 // ---- the list of members ----
 struct Entry {
     std::string name = {};  // as discovery has it
-    nettletrestle::ServerEntry server;
+    decision::ServerEntry server;
     std::string address;
 };
 class ListReader {
 public:
     // The kind is not failed.
-    virtual void listed(nettletrestle::ListKind kind, std::vector<Entry> entries) = 0;
-    virtual void call_failed(const nettletrestle::FailedCall& call) = 0;
+    virtual void listed(decision::ListKind kind, std::vector<Entry> entries) = 0;
+    virtual void call_failed(const decision::FailedCall& call) = 0;
 
 protected:
     ~ListReader() = default;
--- a/src/route/calls/calls.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -1,8 +1,8 @@
-#include "calls/calls.h"
+#include "discovery_poll_schedule.h"
 
 #include <algorithm>
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 namespace {
 
 // A duration that grows with the routers which share discovery, between two bounds.
@@ -121,4 +121,4 @@
     }
 }
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/calls/calls.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -23,9 +23,9 @@
 
 #include <cstdint>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 
 class Calls {
 public:
@@ -89,4 +89,4 @@
     int held_refused_ = 0;  // held calls in a row
 };
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/subset/subset.cpp
+++ b/src/decision/endpoint_subset.cpp
@@ -1,9 +1,9 @@
-#include "subset/subset.h"
+#include "endpoint_subset.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 namespace {
 
 constexpr double kLinks = 150;     // routers that use one member first, all together: the budget
@@ -40,4 +40,4 @@
     return out;
 }
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/subset/subset.h
+++ b/src/decision/endpoint_subset.h
@@ -7,9 +7,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 
 struct Candidate {
     ServerId server = 0;
@@ -23,4 +23,4 @@
 std::vector<ServerId> subset(std::uint64_t router, int zone, const std::vector<Candidate>& members,
                              int routers);
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/interface.cpp
+++ b/src/decision/interface.cpp
@@ -1,10 +1,10 @@
 // What of the interface is no decision: whether settings can be run, and names as operators read them.
-// Interface: include/nettletrestle/router.h
+// Interface: include/sloestack/router.h
 #include <stdexcept>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace nettletrestle {
+namespace sloestack::decision {
 
 void check(const Settings& s) {
     const auto want = [](bool ok, const char* key) {
@@ -35,4 +35,4 @@
     return kNames[static_cast<std::size_t>(cause)];
 }
 
-}  // namespace nettletrestle
+}  // namespace sloestack::decision
--- a/src/decide.cpp
+++ b/src/decision/router.cpp
@@ -1,8 +1,10 @@
-// All decisions of the router. Interface: include/nettletrestle/router.h
+// All decisions of the router. Interface: include/sloestack/router.h
 //
 // Map: constants - small tools - state - step and events - answers (the only ways out) - list - lag record -
-//      write throttle - primary - cold starts - health (of zones: route/health) - choosing - waiting - upkeep
+//      write throttle - primary - cold starts - health (of zones: zone_health) - choosing - waiting - upkeep
 // A departure from the design is marked "Departure" where it acts.
+#include "sloestack/router.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -12,13 +14,12 @@
 #include <unordered_map>
 #include <utility>
 
-#include "calls/calls.h"
-#include "comeback/comeback.h"
-#include "health/health.h"
-#include "nettletrestle/router.h"
-#include "subset/subset.h"
+#include "discovery_poll_schedule.h"
+#include "endpoint_subset.h"
+#include "startup_phase.h"
+#include "zone_health.h"
 
-namespace nettletrestle {
+namespace sloestack::decision {
 namespace {
 
 // ---- constants ----
@@ -402,10 +403,10 @@
         for (auto& [id, g] : groups_) draw_subset(g);
     }
     void draw_subset(Group& g) {
-        std::vector<route::Candidate> all;
+        std::vector<Candidate> all;
         for (const auto id : g.members)
             if (servers_[id].first = false; servers_[id].told_at < 0) all.push_back({id, servers_[id].zone});
-        for (const auto id : route::subset(key_, set_.zone, all, set_.routers)) servers_[id].first = true;
+        for (const auto id : subset(key_, set_.zone, all, set_.routers)) servers_[id].first = true;
     }
     void apply(const ServerEntry& e) {
         const bool known = servers_.count(e.server) > 0;
@@ -729,7 +730,7 @@
     // Its members are used again as soon as one of them answers a probe; without probes none is left out.
     void judge_zones() {
         if (!set_.may_probe) return;
-        std::vector<route::ZoneHealth::Waiting> waiting;
+        std::vector<ZoneHealth::Waiting> waiting;
         for (const auto& [id, s] : busy_)
             for (const auto& [key, out] : s->out)
                 waiting.push_back({s->zone, id, out.sent_at, out.expected_us});
@@ -952,9 +953,9 @@
     std::map<ServerId, Server> servers_;
     std::map<ServerId, Server*> busy_;  // those with attempts out: the rest is not looked at every tick
     std::map<int, Group> groups_;
-    route::ZoneHealth zones_;
-    route::Calls calls_;
-    route::Comeback comeback_;
+    ZoneHealth zones_;
+    Calls calls_;
+    Comeback comeback_;
     std::unordered_map<RequestId, Request> requests_;
     std::map<std::pair<int, SessionId>, Time> marks_;
     using Deadline = std::pair<Time, RequestId>;
@@ -971,4 +972,4 @@
     impl_->step(now, events, actions);
 }
 
-}  // namespace nettletrestle
+}  // namespace sloestack::decision
--- a/src/route/comeback/comeback.cpp
+++ b/src/decision/startup_phase.cpp
@@ -1,9 +1,9 @@
-#include "comeback/comeback.h"
+#include "startup_phase.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 
 Comeback::Comeback(const Settings& settings)
     : believes_listed_(settings.position_check != PositionCheck::none ||
@@ -40,4 +40,4 @@
            std::to_string(since_start / 1000) + " ms";
 }
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/comeback/comeback.h
+++ b/src/decision/startup_phase.h
@@ -1,5 +1,6 @@
 // What a router that has just started may believe: one state machine a process. Pure: time is not looked at.
-// When it calls discovery, while hundreds of others start beside it, is the schedule's (route/calls).
+// When it calls discovery, while hundreds of others start beside it, is the schedule's
+// (decision/discovery_poll_schedule).
 //
 //   cold      serves by the list from before its start, as old as that may be
 //   learning  discovery has told it a list since; members are known by what the list says of them
@@ -13,9 +14,9 @@
 #include <set>
 #include <string>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 
 class Comeback {
 public:
@@ -48,4 +49,4 @@
     std::set<int> asked_, heard_;  // emptied once serving
 };
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/health/health.cpp
+++ b/src/decision/zone_health.cpp
@@ -1,9 +1,9 @@
-#include "health/health.h"
+#include "zone_health.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 namespace {
 
 constexpr double kEvidence = 10;         // expected latencies without any answer: e^-10 by chance
@@ -75,4 +75,4 @@
     return due;
 }
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/route/health/health.h
+++ b/src/decision/zone_health.h
@@ -4,9 +4,9 @@
 #include <map>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace nettletrestle::route {
+namespace sloestack::decision {
 
 class ZoneHealth {
 public:
@@ -38,4 +38,4 @@
     std::map<int, Zone> zones_;
 };
 
-}  // namespace nettletrestle::route
+}  // namespace sloestack::decision
--- a/src/front/clients/arrival_times.cpp
+++ b/src/downstream/sessions/arrival_times.cpp
@@ -1,6 +1,6 @@
-#include "clients/arrival_times.h"
+#include "sessions/arrival_times.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 
 void ArrivalTimes::came(std::uint64_t end, Time now) {
     if (!reads_.empty() && reads_.back().end >= end) return;
@@ -15,4 +15,4 @@
     return reads_.empty() ? otherwise : reads_.front().at;
 }
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/front/clients/arrival_times.h
+++ b/src/downstream/sessions/arrival_times.h
@@ -7,7 +7,7 @@
 
 #include "deadlines/clock.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 
 class ArrivalTimes {
 public:
@@ -30,4 +30,4 @@
     std::deque<Read> reads_;
 };
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/front/clients/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -1,10 +1,10 @@
-#include "clients/client_listener.h"
+#include "sessions/client_listener.h"
 
 #include <algorithm>
 
 #include "log/log.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 namespace {
 
 constexpr Micros kPause = 20'000;  // of the listener, when there are no descriptors
@@ -26,7 +26,7 @@
 }  // namespace
 
 ClientListener::ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas,
-                               net::ByteAccount& account, net::Room& room, numbers::Numbers& numbers,
+                               net::ByteAccount& account, net::Room& room, metrics::Numbers& numbers,
                                const Entrance& at, traffic::RequestDispatcher& dispatcher,
                                std::vector<std::string> class_names, std::vector<bool> class_overlaps,
                                bool sessions_named, Micros longest_wait, std::uint64_t seed)
@@ -187,4 +187,4 @@
     places_.erase(place);
 }
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/front/clients/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -6,10 +6,10 @@
 #include <memory>
 #include <optional>
 
-#include "clients/session.h"
-#include "net/quota.h"
+#include "sessions/session.h"
+#include "transport/quota.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 
 // Where clients connect: at an address, or on a socket that the platform holds and that listens already.
 struct Entrance {
@@ -27,7 +27,7 @@
     };
     // `class_overlaps` has a word for each of `class_names`. `seed` is for the keys that clients cancel by.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
-                   net::Room& room, numbers::Numbers& numbers, const Entrance& at,
+                   net::Room& room, metrics::Numbers& numbers, const Entrance& at,
                    traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
                    std::vector<bool> class_overlaps, bool sessions_named, Micros longest_wait,
                    std::uint64_t seed);
@@ -74,4 +74,4 @@
     Time accepted_at_ = 0, complained_at_ = 0, stopping_since_ = 0;
 };
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/front/clients/session.cpp
+++ b/src/downstream/sessions/session.cpp
@@ -1,4 +1,4 @@
-#include "clients/session.h"
+#include "sessions/session.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 #include "pgwire/build.h"
 #include "pgwire/statement.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 namespace {
 
 using pgwire::Builder;
@@ -351,7 +351,7 @@
             return say_error(pgwire::code::kInvalidParameter, "unknown class " + std::string(tags.klass));
         q->klass = static_cast<int>(klass - names.begin());
         if (!office_.dispatcher.knows_group(tags.cluster)) {
-            office_.numbers.answered(q->klass, numbers::Numbers::shed);
+            office_.numbers.answered(q->klass, metrics::Numbers::shed);
             Builder(out)
                 .error("ERROR", pgwire::code::kCannotConnectNow, "no member of this cluster is known",
                        milliseconds(kBusyAdvice))
@@ -367,7 +367,7 @@
         const Time now = office_.deadlines.now();
         a.not_after = asked_at_ + tags.left_ms * 1000;
         if (a.not_after <= now) {
-            office_.numbers.given_up(q->klass, nettletrestle::Cause::out_of_time);
+            office_.numbers.given_up(q->klass, decision::Cause::out_of_time);
             return refuse(q->klass, 0);
         }
         a.repeat = tags.repeat;
@@ -376,7 +376,7 @@
             a.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * 1000);
         // Two requests of one name cannot be told apart by a member that drops repeats.
         if (!office_.open_ids.emplace(tags.id).second) {
-            office_.numbers.answered(q->klass, numbers::Numbers::errors);
+            office_.numbers.answered(q->klass, metrics::Numbers::errors);
             return say_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
         }
         q->id = tags.id;
@@ -477,7 +477,7 @@
     if (queries_.empty() || passes_on() || state_ != State::open) return;
     auto& first = *queries_.front();
     withdraw(first);
-    office_.numbers.answered(first.klass, numbers::Numbers::errors);
+    office_.numbers.answered(first.klass, metrics::Numbers::errors);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kQueryCanceled, "canceled at the client's request").ready();
     answered(first, std::move(out));
@@ -528,7 +528,7 @@
         auto bytes = take_kept(*q);
         if (q->request) {
             withdraw(*q);
-            office_.numbers.answered(q->klass, numbers::Numbers::errors);
+            office_.numbers.answered(q->klass, metrics::Numbers::errors);
             bytes.clear();
             Builder(bytes).error("ERROR", pgwire::code::kAdminShutdown, "the proxy is stopping").ready();
         }
@@ -604,7 +604,7 @@
 }
 
 void Session::served(Query& query, const traffic::Value& value) {
-    office_.numbers.answered(query.klass, numbers::Numbers::ok);
+    office_.numbers.answered(query.klass, metrics::Numbers::ok);
     std::string out;
     out.reserve(value.bytes.size() + 128);
     const auto row = value.null ? std::nullopt : std::optional<std::string_view>(value.bytes);
@@ -637,7 +637,7 @@
 }
 
 void Session::finished(Query& query, const std::string& tag) {
-    office_.numbers.answered(query.klass, numbers::Numbers::ok);
+    office_.numbers.answered(query.klass, metrics::Numbers::ok);
     std::string out;
     Builder(out).complete(tag).ready();
     answered(query, std::move(out));
@@ -649,27 +649,27 @@
         take_kept(query);
         return failed(query);
     }
-    office_.numbers.answered(query.klass, numbers::Numbers::errors);
+    office_.numbers.answered(query.klass, metrics::Numbers::errors);
     let_go(query);
     finish();
 }
 
 void Session::refused(Query& query, Micros retry_after) {
-    office_.numbers.answered(query.klass, numbers::Numbers::shed);
+    office_.numbers.answered(query.klass, metrics::Numbers::shed);
     answered(query, refusal(retry_after));
 }
 
 void Session::refuse(int klass, Micros retry_after) {
-    office_.numbers.answered(klass, numbers::Numbers::shed);
+    office_.numbers.answered(klass, metrics::Numbers::shed);
     reply(refusal(retry_after));
     if (!queries_.empty()) queries_.back()->klass = klass;
 }
 
 void Session::failed(Query& query) {
-    office_.numbers.answered(query.klass, numbers::Numbers::errors);
+    office_.numbers.answered(query.klass, metrics::Numbers::errors);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kSystemError, "no member has answered in time").ready();
     answered(query, std::move(out));
 }
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/front/clients/session.h
+++ b/src/downstream/sessions/session.h
@@ -13,15 +13,15 @@
 #include <unordered_set>
 #include <vector>
 
-#include "clients/arrival_times.h"
 #include "deadlines/deadlines.h"
-#include "net/connection.h"
-#include "net/quota.h"
-#include "numbers/numbers.h"
+#include "metrics/metrics.h"
 #include "pgwire/frame.h"
+#include "sessions/arrival_times.h"
 #include "traffic/traffic.h"
+#include "transport/connection.h"
+#include "transport/quota.h"
 
-namespace sloestack::clients {
+namespace sloestack::downstream {
 
 class Session;
 
@@ -52,7 +52,7 @@
     net::Room& room;  // for statements too large to be gathered in passing
     const net::Quota& quota;
     net::Quota& lingering;  // of connections that have ended on this side
-    numbers::Numbers& numbers;
+    metrics::Numbers& numbers;
     std::vector<std::string> class_names;
     std::vector<bool> class_overlaps;  // a read, safe to repeat: may run beside other such of its connection
     bool sessions_named = false;       // some class reads what its session has written
@@ -193,4 +193,4 @@
     std::unique_ptr<net::Connection> connection_;
 };
 
-}  // namespace sloestack::clients
+}  // namespace sloestack::downstream
--- a/src/fleet/discovery/list.cpp
+++ b/src/fleet/discovery/list.cpp
@@ -7,8 +7,8 @@
 namespace sloestack::discovery {
 namespace {
 
-using nettletrestle::ServerId;
-using nettletrestle::ServerState;
+using decision::ServerId;
+using decision::ServerState;
 
 ServerId first_choice(const std::string& name) {
     // Names end in eight hexadecimal digits where they are made by machine.
--- a/src/fleet/discovery/list.h
+++ b/src/fleet/discovery/list.h
@@ -25,7 +25,7 @@
 // member.
 class Numbers {
 public:
-    nettletrestle::ServerId of(const std::string& name);
+    decision::ServerId of(const std::string& name);
     // The name is listed no more. Guards against growth where members are replaced for good: of such names
     // only the last `kMostGone` keep their numbers.
     void gone(const std::string& name);
@@ -36,11 +36,11 @@
 
 private:
     struct Known {
-        nettletrestle::ServerId number;
+        decision::ServerId number;
         std::uint64_t gone_at = 0;  // 0: listed
     };
     std::map<std::string, Known> by_name_;
-    std::map<nettletrestle::ServerId, std::string> by_number_;
+    std::map<decision::ServerId, std::string> by_number_;
     std::map<std::uint64_t, std::string> gone_;  // in the order they went
     std::uint64_t went_ = 0;
 };
@@ -65,7 +65,7 @@
     std::vector<std::string> zones_;
     Numbers numbers_;
     std::set<std::string> listed_;
-    std::map<std::string, nettletrestle::Time> draining_;  // and when each such process had started
+    std::map<std::string, decision::Time> draining_;  // and when each such process had started
     std::int64_t newest_ = -1, older_than_ = -1;
 };
 
--- a/src/fleet/discovery/watch.cpp
+++ b/src/fleet/discovery/watch.cpp
@@ -14,7 +14,7 @@
 
 Watch::Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
              std::optional<std::int64_t> revision, traffic::ListReader& reader,
-             const nettletrestle::route::CallTimes& times)
+             const decision::CallTimes& times)
     : loop_(loop),
       deadlines_(deadlines),
       at_(at),
@@ -50,7 +50,7 @@
     reused_ = connection_ != nullptr;
     if (connection_) return write_call();
     up_ = false;
-    const auto connected_by = begun_at_ + std::min(next_.give_up, nettletrestle::route::Calls::kPatience);
+    const auto connected_by = begun_at_ + std::min(next_.give_up, decision::Calls::kPatience);
     patience_.set(deadlines_, connected_by, [this] { failed("cannot connect in time"); });
     connection_ = net::Connection::open(loop_, at_, kMostUnread, *this);
     if (!connection_) failed("no socket");
@@ -91,7 +91,7 @@
     revision_ = list.revision;
     called_ = true;
     if (!response.keeps_open()) connection_.reset();
-    reader_.listed(list.complete ? nettletrestle::ListKind::complete : nettletrestle::ListKind::changes,
+    reader_.listed(list.complete ? decision::ListKind::complete : decision::ListKind::changes,
                    std::move(list.members));
     call();  // at once: later than 200 ms after the answer it would be a new watch
 }
--- a/src/fleet/discovery/watch.h
+++ b/src/fleet/discovery/watch.h
@@ -5,11 +5,11 @@
 #include <optional>
 #include <string>
 
-#include "calls/calls.h"
 #include "deadlines/deadlines.h"
 #include "discovery/list.h"
+#include "discovery_poll_schedule.h"
 #include "http/response.h"
-#include "net/connection.h"
+#include "transport/connection.h"
 
 namespace sloestack::discovery {
 
@@ -17,7 +17,7 @@
 public:
     Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
           std::optional<std::int64_t> revision, traffic::ListReader& reader,
-          const nettletrestle::route::CallTimes& times);
+          const decision::CallTimes& times);
 
     // Starts the loop where it does not run. A failure ends it and is told to the reader, who decides when to
     // ask again.
@@ -50,8 +50,8 @@
     traffic::ListReader& reader_;
     std::unique_ptr<net::Connection> connection_;
     std::optional<http::ResponseParser> response_;  // there while a call is out
-    nettletrestle::route::CallTimes times_;
-    nettletrestle::route::CallTimes::Next next_ = {};  // the call that is out, or the last one
+    decision::CallTimes times_;
+    decision::CallTimes::Next next_ = {};  // the call that is out, or the last one
     Deadline patience_;
     Time begun_at_ = 0;  // the call, its connection included
     bool running_ = false, up_ = false, called_ = false;
--- a/src/fleet/bans/bans.cpp
+++ b/src/fleet/exclusions/exclusions.cpp
@@ -1,12 +1,12 @@
-#include "bans/bans.h"
+#include "exclusions/exclusions.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace sloestack::bans {
+namespace sloestack::exclusions {
 
-using nettletrestle::ListKind;
-using nettletrestle::ServerState;
+using decision::ListKind;
+using decision::ServerState;
 
 void Bans::listed(ListKind kind, std::vector<traffic::Entry> entries) {
     if (kind == ListKind::complete || kind == ListKind::cached) present_.clear();
@@ -44,4 +44,4 @@
         std::count_if(banned_.begin(), banned_.end(), [this](const auto& n) { return present_.count(n); }));
 }
 
-}  // namespace sloestack::bans
+}  // namespace sloestack::exclusions
--- a/src/fleet/bans/bans.h
+++ b/src/fleet/exclusions/exclusions.h
@@ -9,14 +9,14 @@
 
 #include "traffic/traffic.h"
 
-namespace sloestack::bans {
+namespace sloestack::exclusions {
 
 class Bans final : public traffic::ListReader {
 public:
     explicit Bans(traffic::ListReader& next) : next_(next) {}
 
-    void listed(nettletrestle::ListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const nettletrestle::FailedCall& call) override { next_.call_failed(call); }
+    void listed(decision::ListKind kind, std::vector<traffic::Entry> entries) override;
+    void call_failed(const decision::FailedCall& call) override { next_.call_failed(call); }
     void ban(const std::string& name);
     // One call back ends the ban; what discovery says now, a restart included, is passed on with it.
     void lift(const std::string& name);
@@ -35,4 +35,4 @@
     std::map<std::string, traffic::Entry> present_;  // discovery's word, of those it lists
 };
 
-}  // namespace sloestack::bans
+}  // namespace sloestack::exclusions
--- a/src/net/net/connection.cpp
+++ b/src/net/transport/connection.cpp
@@ -1,4 +1,4 @@
-#include "net/connection.h"
+#include "transport/connection.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/net/net/connection.h
+++ b/src/net/transport/connection.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <string_view>
 
-#include "net/byte_account.h"
-#include "net/loop.h"
+#include "transport/byte_account.h"
+#include "transport/loop.h"
 
 namespace sloestack::net {
 
--- a/src/net/net/loop.cpp
+++ b/src/net/transport/loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "transport/loop.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/record/replay/replay.h
+++ b/src/record/replay/replay.h
@@ -14,8 +14,8 @@
 #include "conversation/recording.h"
 #include "deadlines/deadlines.h"
 #include "histogram/histogram.h"
-#include "net/connection.h"
 #include "schedule/schedule.h"
+#include "transport/connection.h"
 #include "writer/writer.h"
 
 namespace sloestack::replay {
--- a/src/benchlink/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-namespace benchlink {
+namespace sloestack::simulator {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 
 std::uint32_t wire_micros(Micros value) {
     return static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, 0xffffffffLL));
@@ -70,4 +70,4 @@
     return out_;
 }
 
-}  // namespace benchlink
+}  // namespace sloestack::simulator
--- a/src/benchlink/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 
-namespace benchlink {
+namespace sloestack::simulator {
 
 struct BadFrame : std::runtime_error {
     BadFrame(std::size_t offset, const std::string& why)
@@ -85,7 +85,7 @@
         put(i);
     }
     void fault(std::string_view text) { texted(1090, text); }
-    void action(const nettletrestle::Action& action);
+    void action(const sloestack::decision::Action& action);
     const std::vector<unsigned char>& finish();
 
 private:
@@ -105,4 +105,4 @@
     std::uint32_t records_ = 0;
 };
 
-}  // namespace benchlink
+}  // namespace sloestack::simulator
--- a/src/benchlink/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -2,10 +2,10 @@
 
 #include <cmath>
 
-namespace benchlink {
+namespace sloestack::simulator {
 namespace {
 
-using namespace nettletrestle;
+using namespace sloestack::decision;
 
 std::optional<Outcome> outcome_of(std::uint16_t status) {
     switch (status) {
@@ -252,4 +252,4 @@
     return reply_.finish();
 }
 
-}  // namespace benchlink
+}  // namespace sloestack::simulator
--- a/src/benchlink/host.h
+++ b/src/simulator_adapter/host.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "codec.h"
-#include "nettletrestle/router.h"
 #include "settings/settings.h"
+#include "sloestack/router.h"
 
-namespace benchlink {
+namespace sloestack::simulator {
 
 using sloestack::settings::InstanceSettings;
 using sloestack::settings::parse_settings;
@@ -23,27 +23,27 @@
 
 private:
     struct Instance {
-        std::unique_ptr<nettletrestle::Router> router;
+        std::unique_ptr<sloestack::decision::Router> router;
         InstanceSettings settings;
-        std::vector<nettletrestle::Event> events;
+        std::vector<sloestack::decision::Event> events;
         std::string fault;
         bool touched = false;
     };
-    using Entries = std::shared_ptr<const std::vector<nettletrestle::ServerEntry>>;
+    using Entries = std::shared_ptr<const std::vector<sloestack::decision::ServerEntry>>;
 
     void record(std::uint16_t code, Fields in);
     void start(Fields in);
     void read_catalog(Fields in);
-    void answer(nettletrestle::Time now);
+    void answer(sloestack::decision::Time now);
     Instance& touch();
-    nettletrestle::Standing read_report(Fields& in, const InstanceSettings& settings) const;
+    sloestack::decision::Standing read_report(Fields& in, const InstanceSettings& settings) const;
 
     std::map<std::uint16_t, Instance> instances_;
     std::array<Entries, 256> lists_;
     std::vector<std::uint16_t> order_;  // instances of this batch, as first named
     std::optional<std::uint16_t> current_;
-    std::vector<nettletrestle::Action> actions_;
+    std::vector<sloestack::decision::Action> actions_;
     Reply reply_;
 };
 
-}  // namespace benchlink
+}  // namespace sloestack::simulator
--- a/src/state/succession/succession.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "succession/succession.h"
+#include "hot_restart/hot_restart.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -10,7 +10,7 @@
 
 #include "log/log.h"
 
-namespace sloestack::succession {
+namespace sloestack::hot_restart {
 namespace {
 
 using nlohmann::json;
@@ -220,4 +220,4 @@
     held.mapped().done();
 }
 
-}  // namespace sloestack::succession
+}  // namespace sloestack::hot_restart
--- a/src/state/succession/succession.h
+++ b/src/state/hot_restart/hot_restart.h
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "deadlines/deadlines.h"
-#include "net/connection.h"
+#include "transport/connection.h"
 
-namespace sloestack::succession {
+namespace sloestack::hot_restart {
 
 class Estate {  // what is handed on and shared; kept by the server
 public:
@@ -74,4 +74,4 @@
     std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace sloestack::succession
+}  // namespace sloestack::hot_restart
--- a/src/fleet/upstream/answer.cpp
+++ b/src/upstream/connection_pool/answer.cpp
@@ -1,12 +1,12 @@
-#include "upstream/answer.h"
+#include "connection_pool/answer.h"
 
 #include <charconv>
 #include <cmath>
 
 namespace sloestack::upstream {
 
-using nettletrestle::Role;
-using nettletrestle::Standing;
+using decision::Role;
+using decision::Standing;
 
 std::optional<double> number(std::string_view text) {
     double out = 0;
@@ -16,9 +16,9 @@
 }
 
 // Positions are Unix times; none lies beyond the year 5000, and 0 says that there is none.
-std::optional<nettletrestle::Time> position(double value, double unit_us) {
+std::optional<decision::Time> position(double value, double unit_us) {
     if (value <= 0 || value * unit_us > 1e17) return std::nullopt;
-    return static_cast<nettletrestle::Time>(std::llround(value * unit_us));
+    return static_cast<decision::Time>(std::llround(value * unit_us));
 }
 
 Standing read_load(std::string_view text) {
--- a/src/fleet/upstream/answer.h
+++ b/src/upstream/connection_pool/answer.h
@@ -5,25 +5,25 @@
 #include <optional>
 #include <string_view>
 
-#include "nettletrestle/router.h"
+#include "sloestack/router.h"
 #include "traffic/traffic.h"
 
 namespace sloestack::upstream {
 
 struct Answer {
     // How the query ended, as far as told: nothing before its end or an error.
-    std::optional<nettletrestle::Outcome> outcome;
-    nettletrestle::Standing standing;  // of the answer itself
-    nettletrestle::Standing reported;  // of a load report that came with it
+    std::optional<decision::Outcome> outcome;
+    decision::Standing standing;  // of the answer itself
+    decision::Standing reported;  // of a load report that came with it
     // The row; there where the outcome is ok.
     std::optional<traffic::Value> value;
 };
 
 // A load report: name=value pairs with commas between. One pair that cannot be read spoils all of it.
-nettletrestle::Standing read_load(std::string_view text);
+decision::Standing read_load(std::string_view text);
 // Digits, a sign and a point; nothing where it is none or not finite.
 std::optional<double> number(std::string_view text);
 // A position told in units of so many microseconds; nothing where it cannot be one.
-std::optional<nettletrestle::Time> position(double value, double unit_us);
+std::optional<decision::Time> position(double value, double unit_us);
 
 }  // namespace sloestack::upstream
--- a/src/fleet/upstream/link.h
+++ b/src/upstream/connection_pool/link.h
@@ -6,10 +6,10 @@
 #include <memory>
 #include <string_view>
 
+#include "connection_pool/answer.h"
 #include "deadlines/deadlines.h"
-#include "net/connection.h"
-#include "net/quota.h"
-#include "upstream/answer.h"
+#include "transport/connection.h"
+#include "transport/quota.h"
 
 namespace sloestack::upstream {
 
--- a/src/fleet/upstream/pool.cpp
+++ b/src/upstream/connection_pool/pool.cpp
@@ -1,4 +1,4 @@
-#include "upstream/pool.h"
+#include "connection_pool/pool.h"
 
 #include <algorithm>
 
@@ -7,9 +7,9 @@
 namespace sloestack::upstream {
 namespace {
 
-using nettletrestle::ListKind;
-using nettletrestle::Outcome;
-using nettletrestle::ServerState;
+using decision::ListKind;
+using decision::Outcome;
+using decision::ServerState;
 
 constexpr traffic::RequestId kProbes = 0;  // no request has this number
 constexpr Micros kProbeTimeout = 250'000;
@@ -45,7 +45,7 @@
 };
 
 Pool::Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-           traffic::Results& results, numbers::Numbers& numbers)
+           traffic::Results& results, metrics::Numbers& numbers)
     : loop_(loop),
       deadlines_(deadlines),
       quota_(quota),
@@ -231,14 +231,14 @@
     jobs_.erase(found);
     const Micros latency = deadlines_.now() - job.sent_at;
     if (job.is_probe()) {
-        nettletrestle::ProbeEnded e;
+        decision::ProbeEnded e;
         e.server = job.attempt.server;
         e.outcome = outcome;
         e.latency_us = latency;
         if (answer && answer->value) e.reported = read_load(answer->value->bytes);
         return results_.probe_ended(e);
     }
-    nettletrestle::AttemptEnded e;
+    decision::AttemptEnded e;
     e.request = job.attempt.request;
     e.attempt = job.attempt.number;
     e.server = job.attempt.server;
@@ -310,8 +310,8 @@
 // Once begun, an answer is the client's: it is not given up any more.
 bool Pool::link_value_begins(Link& link, const traffic::Value& head, std::size_t size) {
     auto& job = *by_link_.at(&link).job;
-    const nettletrestle::AnswerStarted start{job.attempt.request, job.attempt.number, job.attempt.server,
-                                             deadlines_.now() - job.sent_at};
+    const decision::AnswerStarted start{job.attempt.request, job.attempt.number, job.attempt.server,
+                                        deadlines_.now() - job.sent_at};
     if (!job.is_probe() && results_.answer_started(start, head, size, link)) {
         job.give_up_at.clear();
         return true;
--- a/src/fleet/upstream/pool.h
+++ b/src/upstream/connection_pool/pool.h
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
+#include "connection_pool/link.h"
 #include "deadlines/deadlines.h"
-#include "net/quota.h"
-#include "numbers/numbers.h"
+#include "metrics/metrics.h"
 #include "traffic/traffic.h"
-#include "upstream/link.h"
+#include "transport/quota.h"
 
 namespace sloestack::upstream {
 
@@ -27,10 +27,10 @@
 class Pool final : public traffic::Members, private LinkEvents {
 public:
     Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-         traffic::Results& results, numbers::Numbers& numbers);
+         traffic::Results& results, metrics::Numbers& numbers);
     ~Pool() override;
 
-    void listed(nettletrestle::ListKind kind, const std::vector<traffic::Entry>& entries);
+    void listed(decision::ListKind kind, const std::vector<traffic::Entry>& entries);
     void send(const traffic::Attempt& attempt) override;
     void cancel(traffic::RequestId request, int number) override;
     void probe(traffic::ServerId server) override;
@@ -52,8 +52,8 @@
     bool begin(Link& link, Job& job);
     void rest(Member& member, Link& link);
     void became_idle(Member& member, Link& link);
-    void give_up(Job& job, nettletrestle::Outcome outcome);
-    void end(Job& job, nettletrestle::Outcome outcome, Answer* answer = nullptr);
+    void give_up(Job& job, decision::Outcome outcome);
+    void end(Job& job, decision::Outcome outcome, Answer* answer = nullptr);
     void drop(Link& link);
     void take_back(Member& member);
 
@@ -70,7 +70,7 @@
     net::Quota& quota_;
     PoolSettings settings_;
     traffic::Results& results_;
-    numbers::Numbers& numbers_;
+    metrics::Numbers& numbers_;
     std::map<traffic::ServerId, std::unique_ptr<Member>> members_;
     std::map<std::pair<traffic::RequestId, int>, std::unique_ptr<Job>> jobs_;
     struct Place {
--- a/src/fleet/members/link.cpp
+++ b/src/upstream/postgres/link.cpp
@@ -1,11 +1,11 @@
-#include "members/link.h"
+#include "postgres/link.h"
 
 #include <algorithm>
 
 #include "invariant/invariant.h"
 #include "pgwire/build.h"
 
-namespace sloestack::members {
+namespace sloestack::postgres {
 namespace {
 
 // Room for the largest answer that is gathered, and what goes before and after it.
@@ -188,4 +188,4 @@
     state_ = State::broken;
 }
 
-}  // namespace sloestack::members
+}  // namespace sloestack::postgres
--- a/src/fleet/members/link.h
+++ b/src/upstream/postgres/link.h
@@ -4,12 +4,12 @@
 #include <memory>
 #include <string>
 
-#include "members/reply.h"
-#include "net/connection.h"
-#include "net/quota.h"
-#include "upstream/link.h"
+#include "connection_pool/link.h"
+#include "postgres/reply.h"
+#include "transport/connection.h"
+#include "transport/quota.h"
 
-namespace sloestack::members {
+namespace sloestack::postgres {
 
 class Link final : public upstream::Link, public net::ConnectionEvents {
 public:
@@ -62,4 +62,4 @@
     std::unique_ptr<net::Connection> connection_;
 };
 
-}  // namespace sloestack::members
+}  // namespace sloestack::postgres
--- a/src/fleet/members/reply.cpp
+++ b/src/upstream/postgres/reply.cpp
@@ -1,12 +1,12 @@
-#include "members/reply.h"
+#include "postgres/reply.h"
 
 #include "pgwire/build.h"
 
-namespace sloestack::members {
+namespace sloestack::postgres {
 namespace {
 
-using nettletrestle::Outcome;
-using nettletrestle::Role;
+using decision::Outcome;
+using decision::Role;
 
 constexpr std::size_t kLongestAside = 8 * 1024;  // whatever is no value: names, reports, errors
 constexpr std::size_t kReady = 5;
@@ -134,4 +134,4 @@
     }
 }
 
-}  // namespace sloestack::members
+}  // namespace sloestack::postgres
--- a/src/fleet/members/reply.h
+++ b/src/upstream/postgres/reply.h
@@ -4,11 +4,11 @@
 #include <string>
 #include <string_view>
 
-#include "nettletrestle/router.h"
+#include "connection_pool/answer.h"
 #include "pgwire/frame.h"
-#include "upstream/answer.h"
+#include "sloestack/router.h"
 
-namespace sloestack::members {
+namespace sloestack::postgres {
 
 class Reply {
 public:
@@ -32,6 +32,6 @@
     bool row_ = false;
 };
 
-nettletrestle::Outcome outcome_of(std::string_view sqlstate);
+decision::Outcome outcome_of(std::string_view sqlstate);
 
-}  // namespace sloestack::members
+}  // namespace sloestack::postgres
