--- a/bench/decision_trace/fleet.cpp
+++ b/bench/decision_trace/fleet.cpp
@@ -44,30 +44,30 @@
         step_routers();
         if (since % kAvoidedEvery != 0) continue;
         for (std::size_t i = 0; i < routers_.size(); ++i)
-            trace_.avoided(now_, static_cast<int>(i), routers_[i].router->avoided());
+            trace_.avoided(now_, static_cast<int>(i), routers_[i].router->ejected_endpoint_count());
     }
     trace_.summary(scenario_.name);
 }
 
 // ---- the course of the day ----
-void Fleet::add_endpoint(ServerId id, int group, int zone, Time started_at) {
+void Fleet::add_endpoint(EndpointId id, int group, int zone, Time started_at) {
     auto& endpoint = endpoints_[id];
-    endpoint.entry.server = id;
-    endpoint.entry.group = group;
+    endpoint.entry.endpoint = id;
+    endpoint.entry.replica_group = group;
     endpoint.entry.zone = zone;
     endpoint.entry.started_at = started_at;
     endpoint.lag_us = 10'000 + 5'000 * random_.below(8);
 }
 
 void Fleet::start_routers() {
-    const auto entries = std::make_shared<const std::vector<ServerEntry>>(list());
+    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
     for (int i = 0; i < scenario_.routers; ++i) {
         auto settings = scenario_.settings;
         settings.zone = i % scenario_.zones;
-        if (i % 3 != 0) settings.rank = i;
+        if (i % 3 != 0) settings.router_index = i;
         auto& router = routers_.emplace_back();
         router.router = std::make_unique<sloestack::decision::Router>(settings, random_.next());
-        router.events.emplace_back(ServerList{ListKind::cached, entries});
+        router.events.emplace_back(EndpointList{EndpointListKind::cached, entries});
     }
 }
 
@@ -89,7 +89,7 @@
         // Lag grows over some seconds and shrinks again, so that there are speeds to be seen.
         if (random_.one_in(8)) endpoint.lag_us = 10'000 + 50'000 * random_.below(20);
     }
-    if (quarter % 8 == 7) publish(ListKind::complete);
+    if (quarter % 8 == 7) publish(EndpointListKind::complete);
 }
 
 void Fleet::set_zone_hung(int zone, bool hung) {
@@ -102,46 +102,46 @@
     std::vector<Endpoint> replaced;
     for (auto& [id, endpoint] : endpoints_) {
         auto& state = endpoint.entry.state;
-        if (state == ServerState::draining && random_.percent(70)) {
-            state = ServerState::gone;
+        if (state == EndpointState::draining && random_.percent(70)) {
+            state = EndpointState::removed;
             endpoint.running = false;
-        } else if (state == ServerState::ready && !endpoint.primary && random_.one_in(8)) {
-            state = ServerState::draining;
+        } else if (state == EndpointState::ready && !endpoint.primary && random_.one_in(8)) {
+            state = EndpointState::draining;
             replaced.push_back(endpoint);
-        } else if (state == ServerState::ready && random_.one_in(12)) {
+        } else if (state == EndpointState::ready && random_.one_in(12)) {
             endpoint.entry.started_at = now_ - 50'000;
         }
     }
     for (const auto& old : replaced)
-        add_endpoint(++last_endpoint_, old.entry.group, old.entry.zone, now_ - 100'000);
-    publish(ListKind::changes);
+        add_endpoint(++last_endpoint_, old.entry.replica_group, old.entry.zone, now_ - 100'000);
+    publish(EndpointListKind::changes);
 }
 
 void Fleet::fail_over(int group) {
     Endpoint* next = nullptr;
     for (auto& [id, endpoint] : endpoints_) {
-        if (endpoint.entry.group != group) continue;
+        if (endpoint.entry.replica_group != group) continue;
         if (endpoint.primary) {
             endpoint.primary = false;
             endpoint.hung = random_.one_in(2);
-        } else if (endpoint.entry.state == ServerState::ready && (!next || random_.one_in(2))) {
+        } else if (endpoint.entry.state == EndpointState::ready && (!next || random_.one_in(2))) {
             next = &endpoint;
         }
     }
     if (next) next->primary = next->entry.listed_primary = true;
 }
 
-void Fleet::publish(ListKind list_kind) {
-    const auto entries = std::make_shared<const std::vector<ServerEntry>>(list());
+void Fleet::publish(EndpointListKind list_kind) {
+    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
     for (std::size_t i = 0; i < routers_.size(); ++i)
         if (!random_.one_in(5))
-            schedule(1'000 * random_.below(300), static_cast<int>(i), ServerList{list_kind, entries});
+            schedule(1'000 * random_.below(300), static_cast<int>(i), EndpointList{list_kind, entries});
 }
 
-std::vector<ServerEntry> Fleet::list() const {
-    std::vector<ServerEntry> out;
+std::vector<EndpointEntry> Fleet::list() const {
+    std::vector<EndpointEntry> out;
     for (const auto& [id, endpoint] : endpoints_)
-        if (endpoint.entry.state != ServerState::gone) out.push_back(endpoint.entry);
+        if (endpoint.entry.state != EndpointState::removed) out.push_back(endpoint.entry);
     return out;
 }
 
@@ -155,11 +155,11 @@
         Arrival arrival;
         arrival.request = ++last_request_;
         const auto classes = static_cast<std::int64_t>(scenario_.settings.classes.size());
-        arrival.klass = static_cast<int>(random_.one_in(500) ? classes : random_.below(classes));
+        arrival.request_class = static_cast<int>(random_.one_in(500) ? classes : random_.below(classes));
         arrival.session = random_.one_in(3) ? 0 : 1 + static_cast<SessionId>(random_.below(50));
-        arrival.not_after = now_ + 20'000 + 1'000 * random_.below(600);
+        arrival.deadline = now_ + 20'000 + 1'000 * random_.below(600);
         // The first group is asked for as often as all others together.
-        arrival.group = random_.one_in(2) ? 0 : static_cast<int>(random_.below(scenario_.groups));
+        arrival.replica_group = random_.one_in(2) ? 0 : static_cast<int>(random_.below(scenario_.groups));
         if (random_.one_in(2)) arrival.last_write_age_us = 1'000 * random_.below(2'000);
         router.requests[arrival.request].arrival = arrival;
         router.events.emplace_back(arrival);
@@ -172,7 +172,7 @@
     const auto found = router.requests.lower_bound(last_request_ - std::min(recent, last_request_));
     if (found == router.requests.end() || !found->second.open) return;
     found->second.open = false;
-    router.events.emplace_back(ClientGone{found->first});
+    router.events.emplace_back(ClientDisconnected{found->first});
 }
 
 // ---- what routers ask for ----
@@ -183,12 +183,12 @@
 
 Micros Fleet::service_time(Endpoint& endpoint, int request_class) {
     const Micros work = (request_class == 3 ? 6'000 : 1'500) + random_.below(3'000);
-    const bool cold = now_ - endpoint.entry.started_at < scenario_.settings.warm_after_us;
+    const bool cold = now_ - endpoint.entry.started_at < scenario_.settings.slow_start_duration_us;
     return work * endpoint.slow_factor * (cold ? 2 : 1);
 }
 
-Standing Fleet::status(const Endpoint& endpoint) {
-    Standing out;
+ReplicationStatus Fleet::status(const Endpoint& endpoint) {
+    ReplicationStatus out;
     if (random_.one_in(4)) return out;
     out.role = endpoint.primary ? Role::primary : Role::replica;
     if (random_.one_in(4)) return out;
@@ -197,15 +197,15 @@
 }
 
 // How the attempt ends if nothing cancels it; `latency_us` is when.
-AttemptEnded Fleet::answer(const Request& request, const Send& action) {
+AttemptEnded Fleet::answer(const Request& request, const Forward& action) {
     AttemptEnded end;
     end.request = action.request;
     end.attempt = request.attempts;
-    end.server = action.server;
-    end.on_kept = random_.one_in(2);
-    const Micros left = std::max<Micros>(0, request.arrival.not_after - now_);
+    end.endpoint = action.endpoint;
+    end.on_reused_connection = random_.one_in(2);
+    const Micros left = std::max<Micros>(0, request.arrival.deadline - now_);
     const Micros wait = action.timeout_us > 0 ? std::min(action.timeout_us, left) : left;
-    auto& endpoint = endpoints_[action.server];
+    auto& endpoint = endpoints_[action.endpoint];
     if (!endpoint.running || random_.one_in(200)) {
         end.outcome = Outcome::connect_failed;
         end.latency_us = kRoundTrip;
@@ -216,23 +216,24 @@
         end.latency_us = wait;
         return end;
     }
-    const auto index = static_cast<std::size_t>(request.arrival.klass);
-    const auto need = scenario_.settings.classes[index].need;
-    const bool write = need == Need::write;
+    const auto index = static_cast<std::size_t>(request.arrival.request_class);
+    const auto need = scenario_.settings.classes[index].consistency;
+    const bool write = scenario_.settings.classes[index].is_write;
     const bool checks = scenario_.settings.position_check != PositionCheck::none;
-    const bool behind = need != Need::any && endpoint.lag_us > 400'000;
-    end.standing = status(endpoint);
-    end.reported = status(endpoint);
+    const bool behind = need != Consistency::any && endpoint.lag_us > 400'000;
+    end.status = status(endpoint);
+    end.reported_status = status(endpoint);
     end.latency_us = kRoundTrip;
     if (!endpoint.primary && (write || (checks && behind))) {
-        end.outcome = Outcome::miss;
+        end.outcome = Outcome::not_eligible;
         return end;
     }
     if (endpoint.busy_until > now_ + kLongestQueue) {
-        end.outcome = Outcome::full;
+        end.outcome = Outcome::overloaded;
         return end;
     }
-    endpoint.busy_until = std::max(endpoint.busy_until, now_) + service_time(endpoint, request.arrival.klass);
+    endpoint.busy_until =
+        std::max(endpoint.busy_until, now_) + service_time(endpoint, request.arrival.request_class);
     end.latency_us += endpoint.busy_until - now_;
     end.outcome = endpoint.failing ? Outcome::error : endpoint.resetting ? Outcome::reset : Outcome::ok;
     if (end.latency_us <= wait) return end;
@@ -241,22 +242,23 @@
     return end;
 }
 
-void Fleet::act(int router, const Send& action) {
+void Fleet::act(int router, const Forward& action) {
     auto& request = routers_[static_cast<std::size_t>(router)].requests[action.request];
     auto end = answer(request, action);
     ++request.attempts;
     if (!request.open) {
-        end.outcome = Outcome::moot;
+        end.outcome = Outcome::expired;
         end.latency_us = 0;
     }
     if (end.outcome == Outcome::ok && random_.one_in(50)) {
-        schedule(end.latency_us, router, AnswerStarted{end.request, end.attempt, end.server, end.latency_us});
+        schedule(end.latency_us, router,
+                 AnswerStarted{end.request, end.attempt, end.endpoint, end.latency_us});
         end.latency_us += 50'000;
     }
     schedule(end.latency_us, router, end);
 }
 
-void Fleet::act(int router, const Refuse& action) {
+void Fleet::act(int router, const Reject& action) {
     routers_[static_cast<std::size_t>(router)].requests[action.request].open = false;
 }
 void Fleet::act(int router, const Fail& action) {
@@ -276,27 +278,27 @@
     schedule(action.delay_us, router, TimerFired{action.token});
 }
 
-void Fleet::act(int router, const Probe& action) {
-    const auto& endpoint = endpoints_[action.server];
-    ProbeEnded end;
-    end.server = action.server;
+void Fleet::act(int router, const StartHealthCheck& action) {
+    const auto& endpoint = endpoints_[action.endpoint];
+    HealthCheckEnded end;
+    end.endpoint = action.endpoint;
     end.latency_us = endpoint.hung ? 250'000 : kRoundTrip;
     end.outcome = endpoint.hung ? Outcome::timeout : endpoint.running ? Outcome::ok : Outcome::connect_failed;
-    if (end.outcome == Outcome::ok) end.reported = status(endpoint);
+    if (end.outcome == Outcome::ok) end.reported_status = status(endpoint);
     schedule(end.latency_us, router, end);
 }
 
-void Fleet::act(int router, const WatchList&) {
+void Fleet::act(int router, const PollDiscovery&) {
     const Micros delay = 1'000 + 1'000 * random_.below(20);
     if (discovery_up_ && !random_.one_in(5)) {
-        const auto entries = std::make_shared<const std::vector<ServerEntry>>(list());
-        schedule(delay, router, ServerList{ListKind::complete, entries});
+        const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
+        schedule(delay, router, EndpointList{EndpointListKind::complete, entries});
         return;
     }
-    FailedCall call;
-    call.refused = random_.one_in(2);
-    if (random_.one_in(2)) call.took_us = delay;
-    schedule(delay, router, ServerList{ListKind::failed, nullptr, call});
+    FailedPoll call;
+    call.rejected = random_.one_in(2);
+    if (random_.one_in(2)) call.duration_us = delay;
+    schedule(delay, router, EndpointList{EndpointListKind::failed, nullptr, call});
 }
 
 // ---- time ----
--- a/bench/decision_trace/fleet.h
+++ b/bench/decision_trace/fleet.h
@@ -25,7 +25,7 @@
     using Event = sloestack::decision::Event;
 
     struct Endpoint {
-        sloestack::decision::ServerEntry entry;
+        sloestack::decision::EndpointEntry entry;
         bool primary = false, running = true, hung = false, failing = false, resetting = false;
         int slow_factor = 1;
         Micros lag_us = 20'000;
@@ -54,30 +54,31 @@
     };
 
     // ---- the course of the day ----
-    void add_endpoint(sloestack::decision::ServerId id, int group, int zone, Time started_at);
+    void add_endpoint(sloestack::decision::EndpointId id, int group, int zone, Time started_at);
     void start_routers();
     void change_fleet();
     void set_zone_hung(int zone, bool hung);
     void replace_some();
     void fail_over(int group);
-    void publish(sloestack::decision::ListKind kind);
+    void publish(sloestack::decision::EndpointListKind kind);
     // ---- clients ----
     void arrive();
     void leave(Router& router);
     // ---- what routers ask for ----
     void carry_out(int router, const std::vector<sloestack::decision::Action>& actions);
-    void act(int router, const sloestack::decision::Send& action);
-    void act(int router, const sloestack::decision::Refuse& action);
+    void act(int router, const sloestack::decision::Forward& action);
+    void act(int router, const sloestack::decision::Reject& action);
     void act(int router, const sloestack::decision::Fail& action);
     void act(int router, const sloestack::decision::Cancel& action);
     void act(int router, const sloestack::decision::SetTimer& action);
-    void act(int router, const sloestack::decision::Probe& action);
-    void act(int router, const sloestack::decision::WatchList& action);
+    void act(int router, const sloestack::decision::StartHealthCheck& action);
+    void act(int router, const sloestack::decision::PollDiscovery& action);
     void act(int, const sloestack::decision::Log&) {}
-    sloestack::decision::AttemptEnded answer(const Request& request, const sloestack::decision::Send& action);
+    sloestack::decision::AttemptEnded answer(const Request& request,
+                                             const sloestack::decision::Forward& action);
     Micros service_time(Endpoint& endpoint, int request_class);
-    sloestack::decision::Standing status(const Endpoint& endpoint);
-    std::vector<sloestack::decision::ServerEntry> list() const;
+    sloestack::decision::ReplicationStatus status(const Endpoint& endpoint);
+    std::vector<sloestack::decision::EndpointEntry> list() const;
 
     void schedule(Micros delay, int router, Event event);
     void deliver(const Pending& pending);
@@ -90,8 +91,8 @@
     Time start_ = now_;
     std::uint64_t scheduled_ = 0;
     sloestack::decision::RequestId last_request_ = 0;
-    sloestack::decision::ServerId last_endpoint_ = 0;
-    std::map<sloestack::decision::ServerId, Endpoint> endpoints_;
+    sloestack::decision::EndpointId last_endpoint_ = 0;
+    std::map<sloestack::decision::EndpointId, Endpoint> endpoints_;
     std::vector<Router> routers_;
     std::priority_queue<Pending, std::vector<Pending>, Later> pending_;
     bool discovery_up_ = true;
--- a/bench/decision_trace/scenario.cpp
+++ b/bench/decision_trace/scenario.cpp
@@ -5,71 +5,75 @@
 
 using namespace sloestack::decision;
 
-ClassSettings make_class(Need need, Effect effect, RepeatScope scope) {
-    ClassSettings out;
-    out.need = need;
-    out.effect = effect;
-    out.repeat_scope = scope;
-    out.aim_us = need == Need::any ? 120'000 : 60'000;
+RequestClassSettings make_class(Consistency need, Idempotency effect, IdempotencyScope scope,
+                                bool is_write = false) {
+    RequestClassSettings out;
+    out.is_write = is_write;
+    out.consistency = need;
+    out.idempotency = effect;
+    out.idempotency_scope = scope;
+    out.latency_objective_us = need == Consistency::any ? 120'000 : 60'000;
     out.deadline_us = 600'000;
-    out.staleness_bound_us = need == Need::bounded ? 300'000 : 0;
-    out.repeat_window_us = effect == Effect::keyed ? 250'000 : 0;
-    out.worth = need == Need::write ? 4 : 1;
-    out.late_worth = 0.3;
+    out.staleness_bound_us = need == Consistency::bounded_staleness ? 300'000 : 0;
+    out.idempotency_window_us = effect == Idempotency::keyed ? 250'000 : 0;
+    out.priority_weight = is_write ? 4 : 1;
+    out.late_weight_ratio = 0.3;
     return out;
 }
 
-Settings common_settings(RepeatScope scope) {
+Settings common_settings(IdempotencyScope scope) {
     Settings out;
-    out.classes = {
-        make_class(Need::bounded, Effect::safe, scope), make_class(Need::session, Effect::safe, scope),
-        make_class(Need::fresh, Effect::safe, scope),   make_class(Need::any, Effect::safe, scope),
-        make_class(Need::write, Effect::keyed, scope),  make_class(Need::write, Effect::unsafe, scope)};
-    out.may_cancel = true;
-    out.tells_retry_after = true;
+    out.classes = {make_class(Consistency::bounded_staleness, Idempotency::idempotent, scope),
+                   make_class(Consistency::session, Idempotency::idempotent, scope),
+                   make_class(Consistency::linearizable, Idempotency::idempotent, scope),
+                   make_class(Consistency::any, Idempotency::idempotent, scope),
+                   make_class(Consistency::linearizable, Idempotency::keyed, scope, true),
+                   make_class(Consistency::linearizable, Idempotency::none, scope, true)};
+    out.cancel_allowed = true;
+    out.retry_after_supported = true;
     out.max_retry_after_us = 500'000;
     out.max_attempts = 4;
-    out.cold_share = 0.2;
-    out.warm_after_us = 3'000'000;
+    out.slow_start_min_capacity_ratio = 0.2;
+    out.slow_start_duration_us = 3'000'000;
     out.overload_multiple = 2;
     out.overload_window_us = 1'000'000;
-    out.cross_zone_charge = 0.01;
+    out.cross_zone_cost = 0.01;
     return out;
 }
 
 // Endpoints reject reads that they lag for; health checks report position and role.
 Settings checked_settings() {
-    auto out = common_settings(RepeatScope::group);
-    out.list_on_request = true;
-    out.position_check = PositionCheck::refuse;
+    auto out = common_settings(IdempotencyScope::replica_group);
+    out.discovery_is_polled = true;
+    out.position_check = PositionCheck::reject;
     out.listed_role = ListedRole::delayed;
-    out.may_probe = true;
-    out.probes_report = true;
+    out.health_checks_allowed = true;
+    out.health_checks_report_status = true;
     return out;
 }
 
 // Endpoints answer whatever they have; nothing is said of roles in lists.
 Settings unchecked_settings() {
-    auto out = common_settings(RepeatScope::everywhere);
-    out.list_on_request = true;
-    out.second_copies = true;
-    out.may_probe = true;
-    out.probes_report = true;
+    auto out = common_settings(IdempotencyScope::fleet);
+    out.discovery_is_polled = true;
+    out.hedging_allowed = true;
+    out.health_checks_allowed = true;
+    out.health_checks_report_status = true;
     out.position_check = PositionCheck::none;
     return out;
 }
 
 // Endpoints hold reads back until they have caught up; lists are pushed and removal binds nobody.
 Settings waiting_settings() {
-    auto out = common_settings(RepeatScope::zone);
-    out.own_agent = true;
-    out.list_on_request = true;
-    out.session_age_told = true;
+    auto out = common_settings(IdempotencyScope::zone);
+    out.discovery_agent_is_local = true;
+    out.discovery_is_polled = true;
+    out.last_write_age_reported = true;
     out.position_check = PositionCheck::wait;
     out.position_wait_us = 40'000;
     out.listed_role = ListedRole::initial;
-    out.gone_is_advice = true;
-    out.tells_retry_after = false;
+    out.removal_is_advisory = true;
+    out.retry_after_supported = false;
     out.max_attempts = 3;
     return out;
 }
@@ -94,7 +98,7 @@
             Scenario scenario;
             scenario.name = std::string(name) + "-" + std::to_string(size.routers);
             scenario.settings = settings;
-            scenario.settings.routers = size.routers;
+            scenario.settings.router_count = size.routers;
             scenario.seed = 7'001 + out.size();
             scenario.routers = size.routers;
             scenario.groups = size.groups;
--- a/bench/decision_trace/trace.cpp
+++ b/bench/decision_trace/trace.cpp
@@ -8,12 +8,12 @@
 using namespace sloestack::decision;
 
 // In the order of the interface's enum, which is part of what is compared.
-constexpr std::array<const char*, kCauses> kReasons = {
+constexpr std::array<const char*, kRejectionReasonCount> kReasons = {
     "class-unknown",  "write-throttled", "read-not-admitted", "no-primary", "none-eligible",
     "ejected",        "slow-start",      "at-capacity",       "stale",      "deadline",
     "not-repeatable", "retry-budget",    "errors-repeat"};
 
-const char* reason(Cause cause) { return kReasons[static_cast<std::size_t>(cause)]; }
+const char* reason(RejectionReason cause) { return kReasons[static_cast<std::size_t>(cause)]; }
 
 struct Line {
     std::string text;
@@ -29,18 +29,18 @@
         ((out.text += " " + std::to_string(parts)), ...);
         return out;
     }
-    Line operator()(const Send& a) const {
-        return line("forward", a.request, a.server, whole(a.timeout_us),
+    Line operator()(const Forward& a) const {
+        return line("forward", a.request, a.endpoint, whole(a.timeout_us),
                     whole(a.begin_within_us.value_or(-1)));
     }
-    Line operator()(const Refuse& a) const {
-        return line(std::string("reject ") + reason(a.cause), a.request, whole(a.retry_after_us));
+    Line operator()(const Reject& a) const {
+        return line(std::string("reject ") + reason(a.reason), a.request, whole(a.retry_after_us));
     }
-    Line operator()(const Fail& a) const { return line(std::string("fail ") + reason(a.cause), a.request); }
+    Line operator()(const Fail& a) const { return line(std::string("fail ") + reason(a.reason), a.request); }
     Line operator()(const Cancel& a) const { return line("cancel", a.request, a.attempt); }
     Line operator()(const SetTimer& a) const { return line("timer", whole(a.delay_us), a.token); }
-    Line operator()(const Probe& a) const { return line("health-check", a.server); }
-    Line operator()(const WatchList&) const { return line("fetch-list"); }
+    Line operator()(const StartHealthCheck& a) const { return line("health-check", a.endpoint); }
+    Line operator()(const PollDiscovery&) const { return line("fetch-list"); }
     // Its words may change, its place among the actions may not.
     Line operator()(const Log&) const { return line("log"); }
 };
--- a/emulator/callers.cpp
+++ b/emulator/callers.cpp
@@ -17,11 +17,11 @@
 public:
     explicit Callers(const CallersSettings& s) : s_(s), random_(s.seed) {
         sloestack::decision::Settings settings;
-        settings.routers = s.routers;
-        settings.list_on_request = true;
+        settings.router_count = s.routers;
+        settings.discovery_is_polled = true;
         for (int i = 0; i < s.routers; ++i) {
-            routers_.push_back({Calls(settings), CallTimes(settings, random_())});
-            at(routers_.back().calls.first(unit_(random_)), Event::call, i);
+            routers_.push_back({PollBackoff(settings), PollTimeouts(settings, random_())});
+            at(routers_.back().calls.first_poll_delay(unit_(random_)), Event::call, i);
         }
         if (s.change_every > 0) at(s.change_every, Event::change, 0);
     }
@@ -39,14 +39,14 @@
             else if (call == r.call)
                 event == Event::handled ? handled(r, who) : given_up(r, who);
         }
-        const auto due = [this](Time made) { return made + Calls::kToldBy < s_.length; };
+        const auto due = [this](Time made) { return made + PollBackoff::kNotificationBound < s_.length; };
         double pairs = 0, in_time = 0;
         for (std::size_t c = 0; c < made_.size(); ++c)
             for (const auto& r : routers_) {
                 const Time told = c < r.told.size() ? r.told[c] : s_.length;
                 if (!due(made_[c])) continue;
                 ++pairs;
-                in_time += told - made_[c] < Calls::kToldBy;
+                in_time += told - made_[c] < PollBackoff::kNotificationBound;
                 report_.last_told = std::max(report_.last_told, told - made_[c]);
             }
         if (pairs > 0) report_.told_in_time = in_time / pairs;
@@ -57,10 +57,10 @@
 private:
     enum class Event { call, handled, give_up, change };
     struct Router {
-        Calls calls;
-        CallTimes times;
+        PollBackoff calls;
+        PollTimeouts times;
         Time begun = 0;
-        CallTimes::Next next = {};
+        PollTimeouts::Next next = {};
         bool parked = false;
         int call = 0;                 // the one that is out; what concerns an older one is void
         std::vector<Time> told = {};  // by change, when
@@ -74,50 +74,50 @@
         ++report_.calls;
         r.begun = now_, r.next = r.times.next(), r.parked = false;
         const int call = ++r.call;
-        at(now_ + r.next.give_up, Event::give_up, who, call);
+        at(now_ + r.next.timeout_us, Event::give_up, who, call);
         if (goes_on && s_.held_are_free) return handled(r, who);
         const Time from = std::max(now_, busy_until_);
-        if (from - now_ > s_.longest_queue) return failed(r, who, true);
+        if (from - now_ > s_.longest_queue) return delay_after_failure(r, who, true);
         busy_until_ = from + static_cast<Micros>(1e6 / (s_.capacity * s_.routers));
         at(busy_until_, Event::handled, who, call);
     }
 
     // Discovery has come to it; or its time at discovery is over.
     void handled(Router& r, int who) {
-        if (r.next.hold == 0 || r.parked || r.told.size() < made_.size()) return answered(r, who);
+        if (r.next.hold_us == 0 || r.parked || r.told.size() < made_.size()) return on_list(r, who);
         r.parked = true;
-        at(std::max(now_, r.begun + r.next.hold), Event::handled, who, r.call);
+        at(std::max(now_, r.begun + r.next.hold_us), Event::handled, who, r.call);
     }
 
-    void answered(Router& r, int who) {
+    void on_list(Router& r, int who) {
         r.told.resize(made_.size(), now_);
-        r.times.answered(r.next.hold > 0);
-        r.calls.told();
+        r.times.on_list(r.next.hold_us > 0);
+        r.calls.on_list_received();
         begin(r, who, true);
     }
 
     void given_up(Router& r, int who) {
-        if (r.next.hold == 0) return failed(r, who, false);
-        r.times.unanswered(true);
+        if (r.next.hold_us == 0) return delay_after_failure(r, who, false);
+        r.times.on_silence(true);
         begin(r, who, false);
     }
 
-    void failed(Router& r, int who, bool refused) {
+    void delay_after_failure(Router& r, int who, bool refused) {
         ++report_.failed;
         report_.failed_late += now_ > s_.length / 3 * 2;
         ++r.call;
         r.parked = false;
-        const bool held = r.next.hold > 0;
-        refused ? r.times.refused(held) : r.times.unanswered(held);
-        const sloestack::decision::FailedCall call{refused, now_ - r.begun};
-        at(now_ + r.calls.failed(call, unit_(random_)), Event::call, who);
+        const bool held = r.next.hold_us > 0;
+        refused ? r.times.on_rejection(held) : r.times.on_silence(held);
+        const sloestack::decision::FailedPoll call{refused, now_ - r.begun};
+        at(now_ + r.calls.delay_after_failure(call, unit_(random_)), Event::call, who);
     }
 
     void change() {
         made_.push_back(now_);
         if (now_ + s_.change_every <= s_.last_change) at(now_ + s_.change_every, Event::change, 0);
         for (int i = 0; i < s_.routers; ++i)
-            if (auto& r = routers_[static_cast<std::size_t>(i)]; r.parked) answered(r, i);
+            if (auto& r = routers_[static_cast<std::size_t>(i)]; r.parked) on_list(r, i);
     }
 
     const CallersSettings s_;
--- a/emulator/checker.cpp
+++ b/emulator/checker.cpp
@@ -32,7 +32,7 @@
             if (e.key.empty()) return;
             client.session = e.key;
             // Read again with the same id: what it had to see by then, at least.
-            if (kClasses[e.klass].session && client.asked == 1) client.required = sessions_[e.key];
+            if (kClasses[e.request_class].session && client.asked == 1) client.required = sessions_[e.key];
             return;
         }
         case What::answered:
@@ -90,7 +90,7 @@
     if (std::find(values.begin(), values.end(), e.value) == values.end()) values.push_back(e.value);
     if (first && !e.key.empty() && ++keys_[e.key] == 2)
         breaks("the write with key " + e.key + " ran twice, the second time as request " + e.id);
-    const auto bound = kClasses[e.klass].bound_us;
+    const auto bound = kClasses[e.request_class].bound_us;
     // A bound is counted from the last byte of the send.
     if (bound > 0 && !e.deposed && e.position + bound + rules_.slack < e.until)
         breaks("request " + e.id + " was answered" + of_proxy(e.proxy) + " from data " +
@@ -99,8 +99,8 @@
     const auto found = clients_.find(e.id);
     if (found == clients_.end()) return;
     auto& client = found->second;
-    if (kClasses[e.klass].write) client.commit = std::max(client.commit, e.position);
-    if (kClasses[e.klass].session && !e.deposed && e.position < client.required)
+    if (kClasses[e.request_class].write) client.commit = std::max(client.commit, e.position);
+    if (kClasses[e.request_class].session && !e.deposed && e.position < client.required)
         breaks("request " + e.id + " of session " + client.session + " was answered" + of_proxy(e.proxy) +
                " from data " + std::to_string((client.required - e.position) / 1000) +
                " ms older than its last write by member " + std::to_string(e.member));
@@ -126,7 +126,7 @@
         std::find(made->second.begin(), made->second.end(), e.value) == made->second.end())
         breaks("request " + e.id + " was answered" + of_proxy(e.proxy) +
                " with a value that no member made for it");
-    if (!client.session.empty() && kClasses[e.klass].write) {
+    if (!client.session.empty() && kClasses[e.request_class].write) {
         auto& last = sessions_[client.session];
         last = std::max(last, client.commit);
     }
--- a/emulator/event.cpp
+++ b/emulator/event.cpp
@@ -30,7 +30,7 @@
     };
     number("proxy", e.proxy, -1);
     number("member", e.member, -1);
-    number("class", e.klass, -1);
+    number("class", e.request_class, -1);
     number("since", e.since, 0);
     number("until", e.until, 0);
     number("position", e.position, 0);
@@ -55,7 +55,7 @@
         e.at = json["at"].get<Time>();
         e.proxy = json.value("proxy", -1);
         e.member = json.value("member", -1);
-        e.klass = json.value("class", -1);
+        e.request_class = json.value("class", -1);
         e.since = json.value("since", Time{0});
         e.until = json.value("until", Time{0});
         e.position = json.value("position", Time{0});
--- a/emulator/event.h
+++ b/emulator/event.h
@@ -37,7 +37,7 @@
 struct Event {
     What what = What::fault;
     Time at = 0;
-    int proxy = -1, member = -1, klass = -1;
+    int proxy = -1, member = -1, request_class = -1;
     std::string id, key, word;
     // asked: `key` is the session, where there is one. ran: `key` is the write's own, `position` of a write
     // is its commit.
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -54,7 +54,7 @@
     Peer* peer = nullptr;  // none where it has gone: running work goes on
     bool handshake = false;
     std::string id, key, statement;
-    int klass = 0, proxy = 0;
+    int request_class = 0, proxy = 0;
     Micros takes = 0;  // of a warm core
     Time first_byte = 0, last_byte = 0, not_after = 0;
     Time position = 0;
@@ -62,7 +62,7 @@
     Deadline ready;
     // What the data must be new enough for, as far as the statement tells.
     Time wants(Time now) const {
-        const auto bound = kClasses[klass].bound_us;
+        const auto bound = kClasses[request_class].bound_us;
         return bound > 0 ? now - bound : after;
     }
 };
@@ -503,28 +503,28 @@
         const auto tags = pgwire::read_tags(statement);
         job->id = tags.id;
         job->key = tags.key;
-        job->klass = class_named(tags.klass);
+        job->request_class = class_named(tags.request_class);
         job->not_after = now + tags.left_ms * 1000;
         job->after = tags.after_ms.value_or(0) * 1000;
     } catch (const pgwire::BadMessage& error) {
         return turn_away(m, peer, job->id, pgwire::code::kProtocolViolation, error.what());
     }
-    if (job->klass < 0)
+    if (job->request_class < 0)
         return turn_away(m, peer, job->id, pgwire::code::kProtocolViolation, "a class that nobody knows");
     ++attempts_;
     auto e = event(What::arrived, m, peer.proxy());
     e.id = job->id;
-    e.klass = job->klass;
+    e.request_class = job->request_class;
     e.since = first_byte;
     witness_.saw(e);
-    if (kClasses[job->klass].write && bank.primary(now) != m.index)
+    if (kClasses[job->request_class].write && bank.primary(now) != m.index)
         return turn_away(m, peer, job->id, pgwire::code::kReadOnly, "no primary");
     if (m.draining) return turn_away(m, peer, job->id, pgwire::code::kTooManyConnections, "draining");
     if (m.queue.size() >= settings_.queue)
         return turn_away(m, peer, job->id, pgwire::code::kTooManyConnections, "queue full");
     Random random(mixed(settings_.seed, job->id));
     auto takes = static_cast<double>(random.between(settings_.least_work, settings_.most_work));
-    if (kClasses[job->klass].write) takes *= kWriteWork;
+    if (kClasses[job->request_class].write) takes *= kWriteWork;
     job->takes = static_cast<Micros>(takes);
     job->peer = &peer;
     job->proxy = peer.proxy();
@@ -599,11 +599,11 @@
 void Fleet::answer(Member& m, Job& job) {
     const Time now = deadlines_.now();
     auto& bank = *banks_[static_cast<std::size_t>(m.bank)];
-    const bool write = kClasses[job.klass].write;
+    const bool write = kClasses[job.request_class].write;
     auto e = event(What::ran, m, job.proxy);
     e.id = job.id;
     e.key = job.key;
-    e.klass = job.klass;
+    e.request_class = job.request_class;
     e.since = job.first_byte;
     e.until = job.last_byte;
     e.position = job.position;
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -24,7 +24,7 @@
 void Drawing::draw_session(Question& q) {
     const auto number = static_cast<std::uint64_t>(random_.between(0, sessions_.each - 1));
     q.session = true;
-    q.klass = random_.unit() < sessions_.writes ? kWrite : kSessionRead;
+    q.request_class = random_.unit() < sessions_.writes ? kWrite : kSessionRead;
     q.code = hex16(mixed(first_session_ + number, "session"));
     q.group = static_cast<int>(number % static_cast<std::uint64_t>(groups_));
 }
@@ -32,13 +32,14 @@
 Question Drawing::next() {
     Question q;
     double at = random_.unit();
-    while (q.klass + 1 < kRosterClasses && at >= kClasses[q.klass].share) at -= kClasses[q.klass++].share;
+    while (q.request_class + 1 < kRosterClasses && at >= kClasses[q.request_class].share)
+        at -= kClasses[q.request_class++].share;
     q.id = hex16(random_.next());
     q.code = hex16(static_cast<std::uint64_t>(random_.between(0, codes_ - 1)) * 0x9e3779b97f4a7c15u);
     q.group = static_cast<int>(random_.between(0, groups_ - 1));
     if (sessions_.share > 0 && random_.unit() < sessions_.share) draw_session(q);
-    q.left_ms = kClasses[q.klass].patience_us / 1000;
-    if (!kClasses[q.klass].write) return q;
+    q.left_ms = kClasses[q.request_class].patience_us / 1000;
+    if (!kClasses[q.request_class].write) return q;
     q.key = hex16(random_.next());
     q.data.resize(static_cast<std::size_t>(random_.between(8, 200)));
     for (auto& c : q.data) c = static_cast<char>(random_.next());
@@ -124,7 +125,7 @@
                               [this] { ended(sloestack::net::Ending::broken); });
         auto& question = asked_->question;
         question.left_ms = left / 1000;
-        if (question.klass == kSessionRead && of_.settings_.sessions.brought) {
+        if (question.request_class == kSessionRead && of_.settings_.sessions.brought) {
             const auto last = of_.committed_.find(question.code);
             if (last != of_.committed_.end()) question.after_ms = (last->second + 999) / 1000;
         }
@@ -137,7 +138,7 @@
         if (again_) e.word = "again";
         e.at = of_.deadlines_.now();
         e.proxy = proxy_;
-        e.klass = asked_->question.klass;
+        e.request_class = asked_->question.request_class;
         e.id = asked_->question.id;
         if (question.session) e.key = question.code;
         e.since = asked_->first_at;
@@ -215,7 +216,7 @@
         home.next_at += std::max<std::int64_t>(
             1, static_cast<std::int64_t>(home.drawing.random().exponential(1e6 / home.rate)));
         ++open_;
-        ++counts_[asked.question.klass].asked;
+        ++counts_[asked.question.request_class].asked;
         ask(std::move(asked));
     }
     home.arrivals.set(deadlines_, home.next_at, [this, &home] { arrive(home); });
@@ -280,9 +281,9 @@
 }
 
 void Load::answered(int proxy, const Asked& asked, const conversation::Answered& a, bool sent) {
-    auto& count = counts_[asked.question.klass];
+    auto& count = counts_[asked.question.request_class];
     const auto now = deadlines_.now();
-    const auto& model = kClasses[asked.question.klass];
+    const auto& model = kClasses[asked.question.request_class];
     const bool safe = !model.write || a.kind == Kind::refused;
     const auto left = asked.first_at + model.patience_us - now;
     const bool again = a.kind != Kind::served && safe && !asked.is_retry && left > kMostBackoff;
@@ -290,7 +291,7 @@
     e.what = What::answered;
     e.at = now;
     e.proxy = proxy;
-    e.klass = asked.question.klass;
+    e.request_class = asked.question.request_class;
     e.id = asked.question.id;
     e.since = asked.first_at;
     e.last = !again;
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -71,7 +71,7 @@
          Witness& witness);
     ~Load();
     bool over() const { return over_ == homes_.size() && open_ == 0; }
-    const ClassCount& count(int klass) const { return counts_[klass]; }
+    const ClassCount& count(int request_class) const { return counts_[request_class]; }
     Edge& edge(int proxy) { return *proxies_.at(static_cast<std::size_t>(proxy))->edge; }
     void edge_changed(int proxy);
     void reset(int proxy);  // its clients' connections
--- a/emulator/make.cpp
+++ b/emulator/make.cpp
@@ -362,7 +362,7 @@
         std::optional<Damage> struck;
         if (c.plan && c.asked == kStruck) struck = std::exchange(c.plan, std::nullopt);
         if (struck && (wants_large(*struck) || *struck == Damage::lost_answer)) {
-            while ((q.klass == 2) != (*struck == Damage::lost_answer)) q = drawing_.next();
+            while ((q.request_class == 2) != (*struck == Damage::lost_answer)) q = drawing_.next();
             if (wants_large(*struck)) q.code = large_code();
         }
         exchange(c, q, when, struck);
@@ -378,12 +378,12 @@
         ++c.asked;
         auto& random = drawing_.random();
         const auto takes =
-            1000 + static_cast<std::int64_t>(random.exponential(q.klass == 2 ? 25'000 : 9'000));
+            1000 + static_cast<std::int64_t>(random.exponential(q.request_class == 2 ? 25'000 : 9'000));
         const auto number = c.number;
         const auto port = c.port;
         c.free_at = when + takes + random.between(500, 4000);
         const auto request = form_.request(q);
-        const bool write = kClasses[q.klass].write;
+        const bool write = kClasses[q.request_class].write;
         const auto answer = form_.answer(write ? q.data : value_of(q.code), write);
         if (struck == Damage::cut_head) struck.reset();
         at(when, [this, number, port, request, struck, when] {
--- a/emulator/values.cpp
+++ b/emulator/values.cpp
@@ -55,7 +55,8 @@
 namespace {
 
 std::string tags_of(const Question& q) {
-    std::string out = " /* id=" + q.id + ",c=" + kClasses[q.klass].name + ",d=" + std::to_string(q.left_ms);
+    std::string out =
+        " /* id=" + q.id + ",c=" + kClasses[q.request_class].name + ",d=" + std::to_string(q.left_ms);
     if (!q.key.empty()) out += ",k=" + q.key;
     out += ",cluster=" + std::to_string(q.group);
     if (q.after_ms > 0) out += ",after=" + std::to_string(q.after_ms);
@@ -68,13 +69,13 @@
 }  // namespace
 
 std::string statement_of(const Question& q) {
-    if (!kClasses[q.klass].write) return read_of(q);
+    if (!kClasses[q.request_class].write) return read_of(q);
     return "INSERT INTO facts (code, data) VALUES ('" + q.code + "', '\\x" + hex(q.data) +
            "') RETURNING data" + tags_of(q);
 }
 
 std::string tds_statement_of(const Question& q) {
-    if (!kClasses[q.klass].write) return read_of(q);
+    if (!kClasses[q.request_class].write) return read_of(q);
     return "INSERT INTO facts (code, data) OUTPUT inserted.data VALUES ('" + q.code + "', 0x" + hex(q.data) +
            ")" + tags_of(q);
 }
--- a/emulator/values.h
+++ b/emulator/values.h
@@ -46,7 +46,7 @@
 std::string hex16(std::uint64_t value);
 
 struct Question {
-    int klass = 0;
+    int request_class = 0;
     std::string id, code, key, data;  // key and data of a write only
     int group = 0;
     std::int64_t left_ms = 0;
--- a/fault_harness/report.cpp
+++ b/fault_harness/report.cpp
@@ -34,12 +34,22 @@
     return {{"count", ms.size()}, {"median_ms", ms[ms.size() / 2]}, {"most_ms", ms.back()}};
 }
 
+// A line of a proxy's log in the present names: a run's record may be of an older version.
+std::string with_present_names(std::string line) {
+    static constexpr std::pair<std::string_view, std::string_view> kRenamed[] = {
+        {"module: comeback: ", "decision: startup phase: "}, {"figures: ", "metrics: "}};
+    for (const auto& [old_name, name] : kRenamed)
+        if (const auto at = line.find(old_name); at != std::string::npos)
+            line.replace(at, old_name.size(), name);
+    return line;
+}
+
 Told read_logs(const std::string& folder) {
     Told told;
     auto& out = told.causes;
     const auto add = [&](const json& figures) {
         const auto by_class = figures.value("reasons", json::object());
-        for (const auto& [klass, reasons] : by_class.items())
+        for (const auto& [request_class, reasons] : by_class.items())
             for (const auto& [cause, count] : reasons.items())
                 if (count.is_number() && count.get<std::uint64_t>() > 0)
                     out[cause] = out.value(cause, std::uint64_t{0}) + count.get<std::uint64_t>();
@@ -50,11 +60,13 @@
         json last;
         int lives = 0;
         for (std::string line; std::getline(in, line);) {
-            constexpr std::string_view kBegins = "sloestack: serving: ", kMoved = "module: comeback: ";
+            constexpr std::string_view kBegins = "sloestack: serving: ", kMoved = "decision: startup phase: ",
+                                       kMetrics = "metrics: ";
             if (line.rfind(kBegins, 0) == 0) {
                 ++lives;
                 if (!last.is_null()) add(last), last = nullptr;
             }
+            line = with_present_names(std::move(line));
             if (const auto moved = line.find(kMoved); moved != std::string::npos && lives > 1) {
                 std::istringstream words(line.substr(moved + kMoved.size()));
                 std::string state, after;
@@ -62,9 +74,9 @@
                 if (words >> state >> after >> ms)
                     (state == "learning" ? told.learning : told.serving).push_back(ms);
             }
-            const auto at = line.find("figures: ");
+            const auto at = line.find(kMetrics);
             if (at == std::string::npos) continue;
-            auto figures = json::parse(line.substr(at + 9), nullptr, false);
+            auto figures = json::parse(line.substr(at + kMetrics.size()), nullptr, false);
             if (figures.is_object()) last = std::move(figures);
         }
         if (!last.is_null()) add(last);
@@ -161,8 +173,8 @@
     std::printf("%d proxies, %d members, seed %llu\n", f.at("proxies").get<int>(), f.at("members").get<int>(),
                 count("seed"));
     std::printf("%-14s %9s %9s %9s %9s %9s\n", "class", "served", "refused", "failed", "none", "unsent");
-    for (const auto& [klass, ends] : f.at("ends").items()) {
-        std::printf("%-14s", klass.c_str());
+    for (const auto& [request_class, ends] : f.at("ends").items()) {
+        std::printf("%-14s", request_class.c_str());
         for (const char* end : {"served", "refused", "failed", "none", "unsent"})
             std::printf(" %9llu", ends.value(end, 0ULL));
         std::printf("\n");
--- a/fault_harness/tally.cpp
+++ b/fault_harness/tally.cpp
@@ -68,12 +68,12 @@
     if (e.what == What::busy && e.at >= begins_) busy_.push_back(static_cast<Micros>(e.value));
     auto* b = bin(e.proxy, e.at);
     if (e.what == What::answered && e.last) {
-        ++ends_[{e.klass, e.word}];
+        ++ends_[{e.request_class, e.word}];
         if (auto* first = bin(e.proxy, e.since)) {
             ++first->requests;
             if (e.word == "served") {
                 const auto latency = e.at - e.since;
-                if (latency <= emulator::kClasses[e.klass].aim_us) ++first->in_aim;
+                if (latency <= emulator::kClasses[e.request_class].aim_us) ++first->in_aim;
                 latencies_[static_cast<std::size_t>((e.since - begins_) / kBin)].push_back(
                     static_cast<std::int32_t>(latency));
             }
--- a/src/app/ctl/diff.cpp
+++ b/src/app/ctl/diff.cpp
@@ -17,7 +17,7 @@
 
 struct Exchange {
     conversation::Digest request;
-    std::string klass, key;
+    std::string request_class, key;
     bool repeat = false;
     std::optional<conversation::Digest> greeting;  // of its connection, on the first request of it
     Answered answer;
@@ -43,7 +43,7 @@
         if (const int n = ++seen[name]; n > 1) name += "#" + std::to_string(n);
         auto& e = exchanges[name];
         e.request = conversation::digest_of(a.bytes);
-        e.klass = a.klass;
+        e.request_class = a.request_class;
         e.key = a.key;
         e.repeat = a.repeat;
         if (connection_first.emplace(a.connection, name).second)
@@ -67,7 +67,7 @@
 };
 
 struct Difference {
-    std::string id, klass, what;
+    std::string id, request_class, what;
     Cause cause = Cause::none;
 };
 
@@ -94,18 +94,18 @@
         const auto& a = before.exchanges.at(name);
         const auto found = after.exchanges.find(name);
         if (found == after.exchanges.end()) {
-            out.push_back({name, a.klass, "asked before and not after", Cause::none});
+            out.push_back({name, a.request_class, "asked before and not after", Cause::none});
             continue;
         }
         const auto& b = found->second;
         if (a.request != b.request) {
-            out.push_back({name, a.klass, "asked in other words", Cause::none});
+            out.push_back({name, a.request_class, "asked in other words", Cause::none});
         } else if (a.greeting && b.greeting && *a.greeting != *b.greeting) {
-            out.push_back({name, a.klass, "greeted otherwise", Cause::none});
+            out.push_back({name, a.request_class, "greeted otherwise", Cause::none});
         } else if (a.answer.kind == Kind::none) {
             ++counts.without_answer;
         } else if (const auto verdict = conversation::compare(a.answer, b.answer); !verdict.same) {
-            out.push_back({name, a.klass, verdict.what, verdict.cause});
+            out.push_back({name, a.request_class, verdict.what, verdict.cause});
         } else {
             ++counts.same;
         }
@@ -115,7 +115,7 @@
         const auto& b = after.exchanges.at(name);
         const bool again =
             b.repeat || (!b.key.empty() && keys.count(b.key)) || name.find('#') != std::string::npos;
-        out.push_back({name, b.klass, again ? "asked again after" : "asked after and not before",
+        out.push_back({name, b.request_class, again ? "asked again after" : "asked after and not before",
                        again ? Cause::retried : Cause::none});
     }
     return out;
@@ -152,7 +152,7 @@
         if (d.cause == Cause::none) ++unexplained;
         if (named.size() < kMostNamed)
             named.push_back({{"id", d.id},
-                             {"class", d.klass},
+                             {"class", d.request_class},
                              {"what", d.what},
                              {"cause", conversation::to_text(d.cause)}});
     }
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -282,7 +282,7 @@
                                {"number", d.number},
                                {"round", d.round},
                                {"id", d.id},
-                               {"class", d.klass},
+                               {"class", d.request_class},
                                {"what", d.what},
                                {"cause", conversation::to_text(d.cause)}});
     for (const auto& [name, k] : r.classes)
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -29,29 +29,29 @@
     };
     if (s.connect_timeout_us > 0) out.connect_timeout_us = s.connect_timeout_us;
     if (s.idle_limit_us > 0) out.idle_limit_us = s.idle_limit_us;
-    out.gone_is_advice = s.router.gone_is_advice;
+    out.removal_is_advisory = s.router.removal_is_advisory;
     return out;
 }
 
 // On sockets a refusal always has a field for advice, whatever the simulator's settings say of its own wire.
 decision::Settings module_settings(decision::Settings s) {
-    s.tells_retry_after = true;
+    s.retry_after_supported = true;
     // And lists always have to be asked for; where they are pushed, of an agent of the proxy's own.
-    s.own_agent = !s.list_on_request;
-    s.list_on_request = true;
+    s.discovery_agent_is_local = !s.discovery_is_polled;
+    s.discovery_is_polled = true;
     return s;
 }
 
 bool sessions_named(const decision::Settings& s) {
     return std::any_of(s.classes.begin(), s.classes.end(),
-                       [](const auto& c) { return c.need == decision::Need::session; });
+                       [](const auto& c) { return c.consistency == decision::Consistency::session; });
 }
 
 // Reads that may be repeated change nothing that another read could tell.
 std::vector<bool> overlapping(const decision::Settings& s) {
     std::vector<bool> out;
     for (const auto& c : s.classes)
-        out.push_back(c.effect == decision::Effect::safe && c.need != decision::Need::write);
+        out.push_back(c.idempotency == decision::Idempotency::idempotent && !c.is_write);
     return out;
 }
 
@@ -104,10 +104,10 @@
       lists_(config.settings.zone_names),
       known_(known_list(lists_, config.known)),
       discovery_(config.discovery_in_file),
-      waits_for_list_(!config.settings.router.list_on_request) {
+      waits_for_list_(!config.settings.router.discovery_is_polled) {
     watch_ = std::make_unique<discovery::Watch>(
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
-        bans_, decision::CallTimes(module_settings(config.settings.router), config.seed));
+        bans_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
     proxy_.attach({pool_, [this] { watch_->start(); },
                    [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
@@ -131,7 +131,7 @@
 // ---- the processes of one proxy ----
 // The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
 void Server::begin() {
-    bans_.listed(decision::ListKind::cached, std::move(known_.members));
+    bans_.listed(decision::EndpointListKind::cached, std::move(known_.members));
     begun_ = true;
     proxy_.turn();
     if (!waits_for_list_) client_listener_->open();
@@ -216,17 +216,17 @@
     invariant::Counter::report();
     // Whatever could grow with ids, names or connections over a long day.
     if (kDebug)
-        log::line("tables", std::to_string(client_listener_->sessions()) + " clients, " +
-                                std::to_string(pool_.links()) + " links, " +
-                                std::to_string(proxy_.open_requests()) + " requests, " +
-                                std::to_string(lists_.names()) + " names, " +
-                                std::to_string(deadlines_.size()) + " deadlines, " +
-                                std::to_string(account_.held()) + " bytes");
+        log::line("table sizes", std::to_string(client_listener_->sessions()) + " clients, " +
+                                     std::to_string(pool_.links()) + " links, " +
+                                     std::to_string(proxy_.open_requests()) + " requests, " +
+                                     std::to_string(lists_.names()) + " names, " +
+                                     std::to_string(deadlines_.size()) + " deadlines, " +
+                                     std::to_string(account_.held()) + " bytes");
     // Where there is no door, the log tells the figures; added up over all proxies they show where requests
     // go.
     if (numbers_.counted() != told_) {
         told_ = numbers_.counted();
-        log::line("figures", figures());
+        log::line("metrics", figures());
     }
     report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
 }
--- a/src/base/metrics/metrics.cpp
+++ b/src/base/metrics/metrics.cpp
@@ -10,7 +10,7 @@
 template <class What, std::size_t N>
 nlohmann::json by_name(const std::array<std::uint64_t, N>& counts) {
     auto out = nlohmann::json::object();
-    for (std::size_t i = 0; i < N; ++i) out[decision::name(static_cast<What>(i))] = counts[i];
+    for (std::size_t i = 0; i < N; ++i) out[decision::metric_name(static_cast<What>(i))] = counts[i];
     return out;
 }
 
@@ -20,25 +20,25 @@
     for (auto& name : class_names) classes_.emplace_back().name = std::move(name);
 }
 
-Numbers::Class* Numbers::find(int klass) {
-    const auto at = static_cast<std::size_t>(klass);
-    return klass >= 0 && at < classes_.size() ? &classes_[at] : nullptr;
+Numbers::Class* Numbers::find(int request_class) {
+    const auto at = static_cast<std::size_t>(request_class);
+    return request_class >= 0 && at < classes_.size() ? &classes_[at] : nullptr;
 }
 
-void Numbers::answered(int klass, What what) {
-    if (auto* c = find(klass)) count(c->answers[what]);
+void Numbers::answered(int request_class, What what) {
+    if (auto* c = find(request_class)) count(c->answers[what]);
 }
 
-void Numbers::tried(int klass) {
-    if (auto* c = find(klass)) count(c->tries);
+void Numbers::tried(int request_class) {
+    if (auto* c = find(request_class)) count(c->tries);
 }
 
-void Numbers::given_up(int klass, decision::Cause cause) {
-    if (auto* c = find(klass)) count(c->causes[static_cast<std::size_t>(cause)]);
+void Numbers::given_up(int request_class, decision::RejectionReason cause) {
+    if (auto* c = find(request_class)) count(c->causes[static_cast<std::size_t>(cause)]);
 }
 
-void Numbers::ended(int klass, decision::Outcome outcome) {
-    if (auto* c = find(klass)) count(c->outcomes[static_cast<std::size_t>(outcome)]);
+void Numbers::ended(int request_class, decision::Outcome outcome) {
+    if (auto* c = find(request_class)) count(c->outcomes[static_cast<std::size_t>(outcome)]);
 }
 
 std::string Numbers::json(const State& state) const {
@@ -50,7 +50,7 @@
                              {"errors", c.answers[errors]},
                              {"tries", c.tries}};
         tries += c.tries;
-        reasons[c.name] = by_name<decision::Cause>(c.causes);
+        reasons[c.name] = by_name<decision::RejectionReason>(c.causes);
         results[c.name] = by_name<decision::Outcome>(c.outcomes);
     }
     return nlohmann::json{{"responses", responses},
--- a/src/base/metrics/metrics.h
+++ b/src/base/metrics/metrics.h
@@ -26,10 +26,10 @@
     explicit Numbers(std::vector<std::string> class_names);
 
     // A class is its place among the names; one that is unknown (-1) is not counted.
-    void answered(int klass, What what);
-    void tried(int klass);
-    void given_up(int klass, decision::Cause cause);
-    void ended(int klass, decision::Outcome outcome);
+    void answered(int request_class, What what);
+    void tried(int request_class);
+    void given_up(int request_class, decision::RejectionReason cause);
+    void ended(int request_class, decision::Outcome outcome);
     std::uint64_t counted() const { return counted_; }  // all of these together
     std::string json(const State& state) const;
 
@@ -37,10 +37,10 @@
     struct Class {
         std::string name;
         std::uint64_t answers[3] = {}, tries = 0;
-        std::array<std::uint64_t, decision::kCauses> causes = {};
-        std::array<std::uint64_t, decision::kOutcomes> outcomes = {};
+        std::array<std::uint64_t, decision::kRejectionReasonCount> causes = {};
+        std::array<std::uint64_t, decision::kOutcomeCount> outcomes = {};
     };
-    Class* find(int klass);
+    Class* find(int request_class);
     void count(std::uint64_t& what) { ++what, ++counted_; }
     std::vector<Class> classes_;
     std::uint64_t counted_ = 0;
--- a/src/core/dispatch_loop/dispatch_loop.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -8,7 +8,7 @@
 namespace sloestack::dispatch {
 namespace {
 
-using decision::ListKind;
+using decision::EndpointListKind;
 using decision::Outcome;
 
 // How long after a client's deadline the module may still be about to answer; within the slack of the rules.
@@ -45,9 +45,9 @@
     auto& open = open_[id];
     open.sink = &sink;
     open.statement = std::move(request.statement);
-    open.klass = request.arrival.klass;
-    open.not_after = request.arrival.not_after;
-    open.overdue.set(deadlines_, open.not_after + kOverdue, [this, id] { overdue(id); });
+    open.request_class = request.arrival.request_class;
+    open.deadline = request.arrival.deadline;
+    open.overdue.set(deadlines_, open.deadline + kOverdue, [this, id] { overdue(id); });
     events_.emplace_back(request.arrival);
     return id;
 }
@@ -60,13 +60,13 @@
     if (started >= 0)
         hands_->members.cancel(request, started);
     else
-        events_.emplace_back(decision::ClientGone{request});
+        events_.emplace_back(decision::ClientDisconnected{request});
 }
 
 bool Proxy::still_wanted(traffic::RequestId request) {
     const auto found = open_.find(request);
     if (found == open_.end() || !found->second.sink) return false;
-    if (!found->second.sink->has_left()) return deadlines_.now() < found->second.not_after;
+    if (!found->second.sink->has_left()) return deadlines_.now() < found->second.deadline;
     withdraw(request);
     return false;
 }
@@ -92,7 +92,7 @@
     SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
     const auto found = open_.find(end.request);
     const int started = found == open_.end() ? -1 : found->second.started;
-    if (found != open_.end()) numbers_.ended(found->second.klass, end.outcome);
+    if (found != open_.end()) numbers_.ended(found->second.request_class, end.outcome);
     // The first answer goes to the client as it is and ends the request, without asking the module.
     if (started >= 0 ? started == end.attempt : value.has_value())
         if (auto* sink = close(end.request)) {
@@ -107,26 +107,26 @@
     events_.emplace_back(event);
 }
 
-void Proxy::probe_ended(const decision::ProbeEnded& end) { events_.emplace_back(end); }
+void Proxy::probe_ended(const decision::HealthCheckEnded& end) { events_.emplace_back(end); }
 
-void Proxy::listed(ListKind kind, std::vector<traffic::Entry> entries) {
-    if (kind != ListKind::changes) ready_.clear();
-    auto servers = std::make_shared<std::vector<decision::ServerEntry>>();
+void Proxy::listed(EndpointListKind kind, std::vector<traffic::Entry> entries) {
+    if (kind != EndpointListKind::changes) ready_.clear();
+    auto servers = std::make_shared<std::vector<decision::EndpointEntry>>();
     for (const auto& e : entries) {
-        servers->push_back(e.server);
-        if (e.server.state == decision::ServerState::ready)
-            ready_.insert(e.server.server);
+        servers->push_back(e.endpoint);
+        if (e.endpoint.state == decision::EndpointState::ready)
+            ready_.insert(e.endpoint.endpoint);
         else
-            ready_.erase(e.server.server);
-        groups_.insert(e.server.group);
+            ready_.erase(e.endpoint.endpoint);
+        groups_.insert(e.endpoint.replica_group);
     }
     // Told to the module first: attempts that the change takes back are decided anew by the new list.
-    events_.emplace_back(decision::ServerList{kind, std::move(servers)});
+    events_.emplace_back(decision::EndpointList{kind, std::move(servers)});
     hands_->list_changed(kind, entries);
 }
 
-void Proxy::call_failed(const decision::FailedCall& call) {
-    events_.emplace_back(decision::ServerList{ListKind::failed, nullptr, call});
+void Proxy::call_failed(const decision::FailedPoll& call) {
+    events_.emplace_back(decision::EndpointList{EndpointListKind::failed, nullptr, call});
 }
 
 // ---- actions ----
@@ -140,7 +140,7 @@
     return sink;
 }
 
-void Proxy::act(const decision::Send& a) {
+void Proxy::act(const decision::Forward& a) {
     const auto found = open_.find(a.request);
     if (!SLOESTACK_INVARIANT(found != open_.end(), "the module sends only what is open")) return;
     auto& open = found->second;
@@ -151,8 +151,8 @@
         decision::AttemptEnded e;
         e.request = a.request;
         e.attempt = open.attempts++;
-        e.server = a.server;
-        e.outcome = Outcome::moot;
+        e.endpoint = a.endpoint;
+        e.outcome = Outcome::expired;
         e.request_ended = true;
         events_.emplace_back(e);
         return;
@@ -160,26 +160,26 @@
     traffic::Attempt attempt;
     attempt.request = a.request;
     attempt.number = open.attempts++;
-    attempt.klass = open.klass;
-    attempt.server = a.server;
+    attempt.request_class = open.request_class;
+    attempt.endpoint = a.endpoint;
     attempt.statement = open.statement;
-    attempt.give_up_at = a.timeout_us > 0 ? std::min(open.not_after, now + a.timeout_us) : open.not_after;
+    attempt.give_up_at = a.timeout_us > 0 ? std::min(open.deadline, now + a.timeout_us) : open.deadline;
     if (a.begin_within_us) attempt.begin_by = now + *a.begin_within_us;
     hands_->members.send(attempt);
 }
 
-traffic::ResponseSink* Proxy::give_up(traffic::RequestId request, decision::Cause cause) {
+traffic::ResponseSink* Proxy::give_up(traffic::RequestId request, decision::RejectionReason cause) {
     auto* sink = close(request);
-    if (sink) numbers_.given_up(open_.at(request).klass, cause);
+    if (sink) numbers_.given_up(open_.at(request).request_class, cause);
     return sink;
 }
 
-void Proxy::act(const decision::Refuse& a) {
-    if (auto* sink = give_up(a.request, a.cause)) sink->refused(a.retry_after_us);
+void Proxy::act(const decision::Reject& a) {
+    if (auto* sink = give_up(a.request, a.reason)) sink->refused(a.retry_after_us);
 }
 
 void Proxy::act(const decision::Fail& a) {
-    if (auto* sink = give_up(a.request, a.cause)) sink->failed();
+    if (auto* sink = give_up(a.request, a.reason)) sink->failed();
 }
 
 void Proxy::act(const decision::Cancel& a) { hands_->members.cancel(a.request, a.attempt); }
@@ -189,14 +189,14 @@
                    [this, token = a.token] { events_.emplace_back(decision::TimerFired{token}); });
 }
 
-void Proxy::act(const decision::Probe& a) { hands_->members.probe(a.server); }
-void Proxy::act(const decision::WatchList&) { hands_->watch_list(); }
-void Proxy::act(const decision::Log& a) { log::line("module", a.text); }
+void Proxy::act(const decision::StartHealthCheck& a) { hands_->members.probe(a.endpoint); }
+void Proxy::act(const decision::PollDiscovery&) { hands_->watch_list(); }
+void Proxy::act(const decision::Log& a) { log::line("decision", a.text); }
 
 // Every request is answered in time, whatever the module does: one it has left lying is failed and counted.
 void Proxy::overdue(traffic::RequestId request) {
     SLOESTACK_INVARIANT(false, "the module answers every request in time");
-    events_.emplace_back(decision::ClientGone{request});
+    events_.emplace_back(decision::ClientDisconnected{request});
     if (auto* sink = close(request)) sink->failed();
 }
 
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -19,7 +19,7 @@
 struct Hands {
     traffic::Members& members;
     std::function<void()> watch_list;
-    std::function<void(decision::ListKind, const std::vector<traffic::Entry>&)> list_changed;
+    std::function<void(decision::EndpointListKind, const std::vector<traffic::Entry>&)> list_changed;
 };
 
 class Proxy final : public traffic::RequestDispatcher, public traffic::Results, public traffic::ListReader {
@@ -31,7 +31,9 @@
     // Sweeps the deadlines and lets the module decide until nothing new has happened.
     void turn();
     std::size_t open_requests() const { return open_.size() - closed_.size(); }
-    std::size_t members_avoided() const { return router_.avoided(); }  // by the module's choice
+    std::size_t members_avoided() const {
+        return router_.ejected_endpoint_count();
+    }  // by the module's choice
 
     // RequestDispatcher
     traffic::RequestId take(traffic::Request request, traffic::ResponseSink& sink) override;
@@ -43,36 +45,36 @@
                         traffic::Source& source) override;
     void piece(traffic::RequestId request, std::string_view bytes) override;
     void attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::Value> value) override;
-    void probe_ended(const decision::ProbeEnded& end) override;
+    void probe_ended(const decision::HealthCheckEnded& end) override;
     bool still_wanted(traffic::RequestId request) override;
     // ListReader
-    void listed(decision::ListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const decision::FailedCall& call) override;
+    void listed(decision::EndpointListKind kind, std::vector<traffic::Entry> entries) override;
+    void call_failed(const decision::FailedPoll& call) override;
 
 private:
     struct Open {
         traffic::ResponseSink* sink = nullptr;  // none once it is answered or its client has gone
         std::shared_ptr<const traffic::Statement> statement = {};
-        int klass = 0;
-        Time not_after = 0;
+        int request_class = 0;
+        Time deadline = 0;
         int attempts = 0;
         int started = -1;  // the attempt whose answer is being passed on
         Deadline overdue = {};
     };
 
     void step();
-    void act(const decision::Send& a);
-    void act(const decision::Refuse& a);
+    void act(const decision::Forward& a);
+    void act(const decision::Reject& a);
     void act(const decision::Fail& a);
     void act(const decision::Cancel& a);
     void act(const decision::SetTimer& a);
-    void act(const decision::Probe& a);
-    void act(const decision::WatchList& a);
+    void act(const decision::StartHealthCheck& a);
+    void act(const decision::PollDiscovery& a);
     void act(const decision::Log& a);
     // Takes the request's sink, which is answered next; nothing where that has happened.
     traffic::ResponseSink* close(traffic::RequestId request);
     // The same, for a request that the module gives up.
-    traffic::ResponseSink* give_up(traffic::RequestId request, decision::Cause cause);
+    traffic::ResponseSink* give_up(traffic::RequestId request, decision::RejectionReason cause);
     void overdue(traffic::RequestId request);
 
     Deadlines& deadlines_;
@@ -85,7 +87,7 @@
     std::vector<traffic::RequestId> closed_;  // kept until the module has been told
     traffic::RequestId last_ = 0;
     std::unordered_set<int> groups_;
-    std::unordered_set<traffic::ServerId> ready_;
+    std::unordered_set<traffic::EndpointId> ready_;
 };
 
 }  // namespace sloestack::dispatch
--- a/src/core/settings/settings.cpp
+++ b/src/core/settings/settings.cpp
@@ -87,22 +87,23 @@
     bad(key, "unknown word " + value);
 }
 
-ClassSettings read_class(const Reader& in, const std::string& path) {
-    ClassSettings out;
-    out.effect = word<Effect>(path + "effect", in.text(path + "effect"),
-                              {{"read_like", Effect::safe},
-                               {"idempotency_key", Effect::keyed},
-                               {"non_idempotent", Effect::unsafe}});
-    if (out.effect == Effect::keyed) {
-        out.repeat_scope = word<RepeatScope>(
-            path + "group", in.text(path + "group"),
-            {{"cell", RepeatScope::group}, {"zone", RepeatScope::zone}, {"all", RepeatScope::everywhere}});
-        out.repeat_window_us = in.micros(path + "memory-span-us");
+RequestClassSettings read_class(const Reader& in, const std::string& path) {
+    RequestClassSettings out;
+    out.idempotency = word<Idempotency>(path + "effect", in.text(path + "effect"),
+                                        {{"read_like", Idempotency::idempotent},
+                                         {"idempotency_key", Idempotency::keyed},
+                                         {"non_idempotent", Idempotency::none}});
+    if (out.idempotency == Idempotency::keyed) {
+        out.idempotency_scope = word<IdempotencyScope>(path + "group", in.text(path + "group"),
+                                                       {{"cell", IdempotencyScope::replica_group},
+                                                        {"zone", IdempotencyScope::zone},
+                                                        {"all", IdempotencyScope::fleet}});
+        out.idempotency_window_us = in.micros(path + "memory-span-us");
     }
-    out.aim_us = in.micros(path + "promise-us");
+    out.latency_objective_us = in.micros(path + "promise-us");
     out.deadline_us = in.micros(path + "deadline-us");
-    out.worth = in.number(path + "worth", 1);
-    out.late_worth = in.number(path + "late-worth", 0);
+    out.priority_weight = in.number(path + "worth", 1);
+    out.late_weight_ratio = in.number(path + "late-worth", 0);
     return out;
 }
 
@@ -114,31 +115,32 @@
     if (needs.size() != static_cast<std::size_t>(count))
         bad("specifics.class-read", "one word a class is wanted");
     for (std::size_t i = 0; i < needs.size(); ++i) {
-        auto klass = read_class(in, "classes." + std::to_string(i) + ".");
-        klass.need = word<Need>("specifics.class-read", needs[i],
-                                {{"mutate", Need::write},
-                                 {"strong", Need::fresh},
-                                 {"causal", Need::session},
-                                 {"lag_bound", Need::bounded},
-                                 {"eventual", Need::any}});
-        if (klass.need == Need::bounded) {
+        auto request_class = read_class(in, "classes." + std::to_string(i) + ".");
+        request_class.consistency = word<Consistency>("specifics.class-read", needs[i],
+                                                      {{"mutate", Consistency::linearizable},
+                                                       {"strong", Consistency::linearizable},
+                                                       {"causal", Consistency::session},
+                                                       {"lag_bound", Consistency::bounded_staleness},
+                                                       {"eventual", Consistency::any}});
+        request_class.is_write = needs[i] == "mutate";
+        if (request_class.consistency == Consistency::bounded_staleness) {
             if (i >= bounds.size()) bad("specifics.staleness-bound-us", "missing for a lag_bound class");
-            klass.staleness_bound_us = std::strtoll(bounds[i].c_str(), nullptr, 10);
+            request_class.staleness_bound_us = std::strtoll(bounds[i].c_str(), nullptr, 10);
         }
-        out.classes.push_back(klass);
+        out.classes.push_back(request_class);
     }
 }
 
 void read_limits(const Reader& in, Settings& out) {
-    out.may_probe = in.flag("limits.probes", false);
-    out.may_cancel = in.flag("limits.cancel", false);
-    out.second_copies = in.flag("limits.second-copies", false);
-    out.tells_retry_after = in.flag("limits.retry-after", false);
+    out.health_checks_allowed = in.flag("limits.probes", false);
+    out.cancel_allowed = in.flag("limits.cancel", false);
+    out.hedging_allowed = in.flag("limits.second-copies", false);
+    out.retry_after_supported = in.flag("limits.retry-after", false);
     out.max_retry_after_us = in.micros("limits.max-retry-after-us", 0);
     out.max_attempts = static_cast<int>(in.number("limits.most-tries"));
-    out.gone_is_advice = in.flag("rules.gone-is-advice", false);
-    out.cold_share = in.number("rules.cold-from");
-    out.warm_after_us = in.micros("rules.warm-after-us");
+    out.removal_is_advisory = in.flag("rules.gone-is-advice", false);
+    out.slow_start_min_capacity_ratio = in.number("rules.cold-from");
+    out.slow_start_duration_us = in.micros("rules.warm-after-us");
     out.overload_multiple = in.number("rules.fall-multiple");
     out.overload_window_us = in.micros("rules.fall-us");
 }
@@ -152,21 +154,21 @@
     Settings& r = out.router;
     read_classes(in, r);
     read_limits(in, r);
-    r.routers = static_cast<int>(in.number("balancers", 1));
-    r.rank = static_cast<int>(in.number("rank", -1));
+    r.router_count = static_cast<int>(in.number("balancers", 1));
+    r.router_index = static_cast<int>(in.number("rank", -1));
     r.zone = static_cast<int>(in.number("zone", 0));
-    r.cross_zone_charge = in.number("charges.cross-zone", 0);
+    r.cross_zone_cost = in.number("charges.cross-zone", 0);
     if (in.find("discovery"))
-        r.list_on_request =
+        r.discovery_is_polled =
             word<bool>("discovery", in.text("discovery"), {{"pushed", false}, {"on_request", true}});
     if (in.find("specifics.write-marks"))
-        r.session_age_told = word<bool>("specifics.write-marks", in.text("specifics.write-marks"),
-                                        {{"kept", false}, {"brought", true}});
+        r.last_write_age_reported = word<bool>("specifics.write-marks", in.text("specifics.write-marks"),
+                                               {{"kept", false}, {"brought", true}});
     r.positions_in_answers = in.flag("specifics.progress-told", false);
     if (in.find("specifics.checks"))
         r.position_check = word<PositionCheck>("specifics.checks", in.text("specifics.checks"),
                                                {{"none", PositionCheck::none},
-                                                {"bounce", PositionCheck::refuse},
+                                                {"bounce", PositionCheck::reject},
                                                 {"await", PositionCheck::wait}});
     r.position_wait_us = in.micros("specifics.patience-us", 0);
     if (in.find("specifics.role-listed"))
@@ -184,7 +186,7 @@
     out.idle_limit_us = in.micros("limits.conn-idle-us", 0);
     const auto* how = in.find("feedback.how");
     for (const auto& field : out.report_fields)
-        if (how && *how != "none" && (field == "x0" || field == "x1")) r.probes_report = true;
+        if (how && *how != "none" && (field == "x0" || field == "x1")) r.health_checks_report_status = true;
     return out;
 }
 
--- a/src/core/traffic/traffic.h
+++ b/src/core/traffic/traffic.h
@@ -15,9 +15,9 @@
 
 namespace sloestack::traffic {
 
+using decision::EndpointId;
 using decision::Micros;
 using decision::RequestId;
-using decision::ServerId;
 using decision::Time;
 
 // The statement as the client worded it, and where in it the time left stands: the one part that changes on
@@ -47,8 +47,8 @@
 struct Attempt {
     RequestId request = 0;
     int number = 0;
-    int klass = 0;
-    ServerId server = 0;
+    int request_class = 0;
+    EndpointId endpoint = 0;
     std::shared_ptr<const Statement> statement;
     Time give_up_at = 0;
     std::optional<Time> begin_by = {};  // its first byte is written by then or never
@@ -100,7 +100,7 @@
     virtual ~Members() = default;
     virtual void send(const Attempt& attempt) = 0;
     virtual void cancel(RequestId request, int number) = 0;
-    virtual void probe(ServerId server) = 0;
+    virtual void probe(EndpointId server) = 0;
 };
 class Results {  // told how attempts and probes ended, each exactly once; kept by the proxy
 public:
@@ -111,7 +111,7 @@
     virtual void piece(RequestId request, std::string_view bytes) = 0;
     // `value` is there if and only if the outcome is ok.
     virtual void attempt_ended(const decision::AttemptEnded& end, std::optional<Value> value) = 0;
-    virtual void probe_ended(const decision::ProbeEnded& end) = 0;
+    virtual void probe_ended(const decision::HealthCheckEnded& end) = 0;
     // Whether the request still waits for its answer and its client is there: asked again before an attempt's
     // first byte. A request whose client has left is withdrawn by that.
     virtual bool still_wanted(RequestId request) = 0;
@@ -123,14 +123,14 @@
 // ---- the list of members ----
 struct Entry {
     std::string name = {};  // as discovery has it
-    decision::ServerEntry server;
+    decision::EndpointEntry endpoint;
     std::string address;
 };
 class ListReader {
 public:
     // The kind is not failed.
-    virtual void listed(decision::ListKind kind, std::vector<Entry> entries) = 0;
-    virtual void call_failed(const decision::FailedCall& call) = 0;
+    virtual void listed(decision::EndpointListKind kind, std::vector<Entry> entries) = 0;
+    virtual void call_failed(const decision::FailedPoll& call) = 0;
 
 protected:
     ~ListReader() = default;
--- a/src/decision/discovery_poll_schedule.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -26,17 +26,22 @@
 constexpr int kLessOften = 8;  // answered calls that take back what one usual hold has added
 
 constexpr Micros after_silence(int routers) {
-    return kHold.of(routers) + CallTimes::kLate + kShortPatience.of(routers);
+    return kHold.of(routers) + PollTimeouts::kHoldSlack + kShortPatience.of(routers);
 }
 // The most of each share is reached by 350 routers; beyond, nothing grows.
-static_assert(after_silence(350) < Calls::kToldBy, "told in time behind a silence");
-static_assert(Calls::kBetween + Calls::kPatience < Calls::kToldBy, "told in time behind a failure");
-static_assert(kWindow.of(350) + Calls::kPatience < Calls::kToldBy, "told in time from the start");
-static_assert(after_silence(kFew) + kFirstBackOff.of(kFew) + kShortPatience.of(kFew) < Calls::kToldBy,
+static_assert(after_silence(350) < PollBackoff::kNotificationBound, "told in time behind a silence");
+static_assert(PollBackoff::kMaxPollInterval + PollBackoff::kPollTimeout < PollBackoff::kNotificationBound,
+              "told in time behind a failure");
+static_assert(kWindow.of(350) + PollBackoff::kPollTimeout < PollBackoff::kNotificationBound,
+              "told in time from the start");
+static_assert(after_silence(kFew) + kFirstBackOff.of(kFew) + kShortPatience.of(kFew) <
+                  PollBackoff::kNotificationBound,
               "a failure behind a silence is told in time");
-static_assert(kHoldBehindRefusal + Calls::kPatience + kShortPatience.of(350) < Calls::kToldBy,
+static_assert(kHoldBehindRefusal + PollBackoff::kPollTimeout + kShortPatience.of(350) <
+                  PollBackoff::kNotificationBound,
               "a silence behind a refusal is told in time");
-static_assert(kHold.of(kFew) + CallTimes::kLate + kFirstRefused + Calls::kPatience < Calls::kToldBy,
+static_assert(kHold.of(kFew) + PollTimeouts::kHoldSlack + kFirstRefused + PollBackoff::kPollTimeout <
+                  PollBackoff::kNotificationBound,
               "a refusal behind a silence is told in time");
 
 // SplitMix64's finalizer (Steele, Lea and Flood 2014): at least 1 ms and at most `full` us, in whole ms.
@@ -51,43 +56,44 @@
 
 }  // namespace
 
-Calls::Calls(const Settings& settings)
-    : own_agent_(settings.own_agent),
-      window_(own_agent_ ? 0 : kWindow.of(settings.routers)),
-      back_off_(kFirstBackOff.of(settings.routers)) {}
+PollBackoff::PollBackoff(const Settings& settings)
+    : own_agent_(settings.discovery_agent_is_local),
+      window_(own_agent_ ? 0 : kWindow.of(settings.router_count)),
+      back_off_(kFirstBackOff.of(settings.router_count)) {}
 
-Micros Calls::first(double draw) const {
+Micros PollBackoff::first_poll_delay(double draw) const {
     return static_cast<Micros>(draw * static_cast<double>(window_)) + 1;
 }
 
-Micros Calls::failed(const FailedCall& call, double draw) {
-    Micros most = kPushedBackOff;
+Micros PollBackoff::delay_after_failure(const FailedPoll& call, double draw) {
+    Micros most = kLocalAgentMaxBackoff;
     if (!own_agent_) {
         // A call that has been out for longer was held, and would have told of a change at once.
-        const Micros left = kBetween - std::min(kPatience, call.took_us.value_or(kPatience));
-        most = (call.refused ? kFirstRefused : back_off_) << std::min(failures_, kMostDoublings);
+        const Micros left =
+            kMaxPollInterval - std::min(kPollTimeout, call.duration_us.value_or(kPollTimeout));
+        most = (call.rejected ? kFirstRefused : back_off_) << std::min(failures_, kMostDoublings);
         most = std::max<Micros>(0, std::min(most, left));
     }
     ++failures_;
     return static_cast<Micros>(draw * static_cast<double>(most)) + 1;
 }
 
-CallTimes::CallTimes(const Settings& settings, std::uint64_t seed) {
-    const int callers = settings.own_agent ? 1 : settings.routers;
+PollTimeouts::PollTimeouts(const Settings& settings, std::uint64_t seed) {
+    const int callers = settings.discovery_agent_is_local ? 1 : settings.router_count;
     usual_hold_ = kHold.of(callers);
     hold_ = first_hold(seed, usual_hold_);
     short_ = kShortPatience.of(callers);
-    patience_ = settings.own_agent ? short_ : Calls::kPatience;
+    patience_ = settings.discovery_agent_is_local ? short_ : PollBackoff::kPollTimeout;
 }
 
-CallTimes::Next CallTimes::next() const {
+PollTimeouts::Next PollTimeouts::next() const {
     switch (behind_) {
         case Behind::answer:
-            return {hold_, hold_ + kLate};
+            return {hold_, hold_ + kHoldSlack};
         case Behind::refusal: {
             // One call in place of two. It may wait its turn at discovery before it is held.
             const Micros hold = hold_ > usual_hold_ ? hold_ : std::min(hold_, kHoldBehindRefusal);
-            return {hold, hold + Calls::kPatience};
+            return {hold, hold + PollBackoff::kPollTimeout};
         }
         case Behind::nothing:
             break;
@@ -95,7 +101,7 @@
     return {0, short_left_ > 0 ? short_ : patience_};
 }
 
-void CallTimes::answered(bool held) {
+void PollTimeouts::on_list(bool held) {
     behind_ = Behind::answer;
     short_left_ = 0;
     if (!held) return;
@@ -105,13 +111,13 @@
 
 // One held call is refused wherever discovery goes down or is overrun for a while; two in a row, with a call
 // between them that was answered, say that it bears no more held calls than this.
-void CallTimes::refused(bool held) {
+void PollTimeouts::on_rejection(bool held) {
     behind_ = Behind::refusal;
     short_left_ = 0;  // its queue is full: whom it lets in waits long
-    if (held && ++held_refused_ > 1) hold_ = std::min(kLongestHold, 2 * std::max(hold_, usual_hold_));
+    if (held && ++held_refused_ > 1) hold_ = std::min(kMaxHold, 2 * std::max(hold_, usual_hold_));
 }
 
-void CallTimes::unanswered(bool held) {
+void PollTimeouts::on_silence(bool held) {
     behind_ = Behind::nothing;
     if (held) {
         short_left_ = kShortCalls;
--- a/src/decision/discovery_poll_schedule.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -1,7 +1,7 @@
 // When a router calls discovery for the list, and how long it waits for what: the one schedule of all calls.
-// Pure: time is not looked at, and draws are passed in. `Calls` says when to call, `CallTimes` how long a
-// call may take; both go by what discovery has made of the calls before, which is all that a router knows of
-// how many others call and of what discovery bears.
+// Pure: time is not looked at, and draws are passed in. `PollBackoff` says when to call, `CallTimes` how long
+// a call may take; both go by what discovery has made of the calls before, which is all that a router knows
+// of how many others call and of what discovery bears.
 //
 // Whatever happens to calls, a change counts as told `kToldBy` after discovery had it and could be reached.
 // So the longest chain of waits between a change and the list that tells of it is bounded, constant by
@@ -27,24 +27,25 @@
 
 namespace sloestack::decision {
 
-class Calls {
+class PollBackoff {
 public:
     // Of the settings: how many routers, over 0, share discovery, and whether discovery is an agent of its
     // own.
-    explicit Calls(const Settings& settings);
+    explicit PollBackoff(const Settings& settings);
 
     // From the start to the first call, us, at least 1; `draw` lies in [0, 1).
-    Micros first(double draw) const;
+    Micros first_poll_delay(double draw) const;
     // A call has failed: from now to the next, us, at least 1. Exponential back-off with full jitter, longer
     // behind a refusal: discovery is there and has too much to do.
-    Micros failed(const FailedCall& call, double draw);
+    Micros delay_after_failure(const FailedPoll& call, double draw);
     // A list has been told: the next failure is the first again.
-    void told() { failures_ = 0; }
+    void on_list_received() { failures_ = 0; }
 
-    static constexpr Micros kToldBy = 6'000'000;    // us; the operators' term
-    static constexpr Micros kPatience = 2'300'000;  // us; discovery lets a call wait 2 s at most, and the way
-    static constexpr Micros kBetween = 3'500'000;   // us; from a call that fails to the next, at most
-    static constexpr Micros kPushedBackOff = 100'000;
+    static constexpr Micros kNotificationBound = 6'000'000;  // us; the operators' term
+    static constexpr Micros kPollTimeout =
+        2'300'000;  // us; discovery lets a call wait 2 s at most, and the way
+    static constexpr Micros kMaxPollInterval = 3'500'000;  // us; from a call that fails to the next, at most
+    static constexpr Micros kLocalAgentMaxBackoff = 100'000;
 
 private:
     bool own_agent_;
@@ -52,31 +53,32 @@
     int failures_ = 0;          // in a row
 };
 
-class CallTimes {
+class PollTimeouts {
 public:
     // `seed` tells this router from the others: how long its first held call is held is drawn by it, since
     // watches that begin together else end together ever after. Many routers call less often, and those whose
     // held calls are refused again and again less often still.
-    CallTimes(const Settings& settings, std::uint64_t seed);
+    PollTimeouts(const Settings& settings, std::uint64_t seed);
 
     // The next call, both us from its beginning, its connection included: how long discovery is to hold it
     // back while there is nothing to tell, whole ms, 0 where it is to answer at once; and when it is given
     // up.
     struct Next {
-        Micros hold, give_up;
+        Micros hold_us, timeout_us;
     };
     Next next() const;
 
     // What became of the last call, which was held or not: it was answered by a list; it was refused by an
     // answer that is none; nobody answered in time, or its connection broke.
-    void answered(bool held);
-    void refused(bool held);
-    void unanswered(bool held);
+    void on_list(bool held);
+    void on_rejection(bool held);
+    void on_silence(bool held);
     // Discovery is at another address: nothing is known of that one.
-    void moved() { behind_ = Behind::nothing; }
+    void on_address_change() { behind_ = Behind::nothing; }
 
-    static constexpr Micros kLate = 600'000;  // us; behind the hold: empty answers were at most 300 ms late
-    static constexpr Micros kLongestHold = 12'000'000;  // us; 0.09 calls a second and router
+    static constexpr Micros kHoldSlack =
+        600'000;  // us; behind the hold: empty answers were at most 300 ms late
+    static constexpr Micros kMaxHold = 12'000'000;  // us; 0.09 calls a second and router
 
 private:
     // What is known of discovery. A call is held only behind an answer of whatever kind: of one that is held
--- a/src/decision/endpoint_subset.cpp
+++ b/src/decision/endpoint_subset.cpp
@@ -24,17 +24,17 @@
     return std::min(members, std::max(kLeast, static_cast<std::size_t>(share)));
 }
 
-std::vector<ServerId> subset(std::uint64_t router, int zone, const std::vector<Candidate>& members,
-                             int routers) {
-    std::vector<std::pair<double, ServerId>> scored;
+std::vector<EndpointId> select_subset(std::uint64_t router, int zone,
+                                      const std::vector<SubsetCandidate>& members, int routers) {
+    std::vector<std::pair<double, EndpointId>> scored;
     for (const auto& m : members) {
-        const auto drawn = mix(mix(router + 0x9e3779b97f4a7c15u) ^ (m.server * 0xd1342543de82ef95u));
+        const auto drawn = mix(mix(router + 0x9e3779b97f4a7c15u) ^ (m.endpoint * 0xd1342543de82ef95u));
         const double unit = (static_cast<double>(drawn >> 11) + 0.5) / 9007199254740992.0;  // 0 to 1, neither
-        scored.emplace_back(-std::log(unit) / (m.zone == zone ? kOwnZone : 1), m.server);
+        scored.emplace_back(-std::log(unit) / (m.zone == zone ? kOwnZone : 1), m.endpoint);
     }
     std::sort(scored.begin(), scored.end());
     scored.resize(members.empty() ? 0 : subset_size(members.size(), routers));
-    std::vector<ServerId> out;
+    std::vector<EndpointId> out;
     for (const auto& [score, server] : scored) out.push_back(server);
     std::sort(out.begin(), out.end());
     return out;
--- a/src/decision/endpoint_subset.h
+++ b/src/decision/endpoint_subset.h
@@ -11,8 +11,8 @@
 
 namespace sloestack::decision {
 
-struct Candidate {
-    ServerId server = 0;
+struct SubsetCandidate {
+    EndpointId endpoint = 0;
     int zone = 0;
 };
 // How many of `members` each of `routers` (both over 0) uses first: all of them where routers are few, two at
@@ -20,7 +20,7 @@
 std::size_t subset_size(std::size_t members, int routers);
 // Their ids, sorted. `router` tells it from the others; members of its own `zone` are drawn before others,
 // not always.
-std::vector<ServerId> subset(std::uint64_t router, int zone, const std::vector<Candidate>& members,
-                             int routers);
+std::vector<EndpointId> select_subset(std::uint64_t router, int zone,
+                                      const std::vector<SubsetCandidate>& members, int routers);
 
 }  // namespace sloestack::decision
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -105,7 +105,8 @@
 };
 
 bool proves_not_run(Outcome o) {
-    return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::moot || o == Outcome::miss;
+    return o == Outcome::overloaded || o == Outcome::connect_failed || o == Outcome::expired ||
+           o == Outcome::not_eligible;
 }
 
 struct Sample {
@@ -140,9 +141,9 @@
     Time sent_at;
     double expected_us, work;
 };
-struct Server {
-    ServerId id = 0;
-    int group = 0, zone = 0;
+struct Endpoint {
+    EndpointId id = 0;
+    int replica_group = 0, zone = 0;
     bool draining = false, first = true;  // first: of those that this router uses before others
     Time told_at = -1;                    // told draining or gone
     Role role = Role::unknown;
@@ -163,7 +164,7 @@
     double cold_credit = 0;
 };
 struct Attempt {
-    ServerId server;
+    EndpointId endpoint;
     bool open = true, may_have_run = true;
 };
 struct Request {
@@ -172,14 +173,15 @@
     std::vector<Attempt> attempts = {};
     int open = 0;
     bool queued = false, trial = false, erred = false;
-    Cause blocked = Cause::no_member;  // why the last look found no member for it
-    Time first_risk = -1;              // sending of the first attempt that may have run
+    RejectionReason blocked =
+        RejectionReason::no_eligible_endpoint;  // why the last look found no member for it
+    Time first_risk = -1;                       // sending of the first attempt that may have run
     int risk_zone = 0;
 };
-struct Group {
+struct ReplicaGroup {
     int id = 0;
-    std::vector<ServerId> members;
-    std::optional<ServerId> primary;
+    std::vector<EndpointId> members;
+    std::optional<EndpointId> primary;
     Time primary_position = -1, passed = 0;
     std::deque<Sample> commits;  // the primary's positions
     Time committed_at = -1, searched_at = -1, probed_at = -1, lost_at = -1, rated_at = 0;
@@ -195,20 +197,22 @@
 
 class Router::Impl {
 public:
-    Impl(Settings s, std::uint64_t seed) : set_(std::move(s)), random_(seed), calls_(set_), comeback_(set_) {
-        check(set_);
-        key_ = set_.rank >= 0 ? static_cast<std::uint64_t>(set_.rank) : seed;
+    Impl(Settings s, std::uint64_t seed)
+        : set_(std::move(s)), random_(seed), poll_backoff_(set_), startup_phase_(set_) {
+        validate(set_);
+        key_ = set_.router_index >= 0 ? static_cast<std::uint64_t>(set_.router_index) : seed;
         usual_.reserve(set_.classes.size());
         for (const auto& c : set_.classes) {
-            usual_.push_back(num(c.aim_us) / 5);
-            const Micros half = c.need == Need::bounded ? c.staleness_bound_us / 2 : target_;
+            usual_.push_back(num(c.latency_objective_us) / 5);
+            const Micros half =
+                c.consistency == Consistency::bounded_staleness ? c.staleness_bound_us / 2 : target_;
             target_ = target_ ? std::min(target_, half) : half;
         }
         if (!target_) target_ = kNoBoundTarget;
-        probe_every_ = std::max(kProbeEvery, set_.routers * kProbeShare);
+        probe_every_ = std::max(kProbeEvery, set_.router_count * kProbeShare);
         // Where servers check reads, who has no position yet tries one: what probes tell is worth less there.
         if (set_.position_check != PositionCheck::none)
-            first_probe_ = std::min(1.0, kFirstProbes / set_.routers);
+            first_probe_ = std::min(1.0, kFirstProbes / set_.router_count);
     }
 
     void step(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
@@ -219,20 +223,22 @@
         pump();
     }
 
-    std::size_t avoided() const {
+    std::size_t ejected_endpoint_count() const {
         std::size_t out = 0;
-        for (const auto& [id, s] : servers_) out += (s.ejected || zones_.silent(s.zone)) && s.told_at < 0;
+        for (const auto& [id, s] : endpoints_)
+            out += (s.ejected || zones_.is_silent(s.zone)) && s.told_at < 0;
         return out;
     }
 
 private:
     double unit() { return std::uniform_real_distribution<>()(random_); }
-    static std::size_t index(const Request& r) { return static_cast<std::size_t>(r.a.klass); }
-    const ClassSettings& klass(const Request& r) const { return set_.classes[index(r)]; }
+    static std::size_t index(const Request& r) { return static_cast<std::size_t>(r.a.request_class); }
+    const RequestClassSettings& request_class(const Request& r) const { return set_.classes[index(r)]; }
     double usual(const Request& r) const { return usual_[index(r)]; }
     double work_of(const Request& r) const { return usual(r) / 1e6; }  // seconds
-    void log(const char* what, const Server& s, const char* why = "") {
-        actions_->emplace_back(Log{what + std::to_string(s.id) + " group " + std::to_string(s.group) + why});
+    void log(const char* what, const Endpoint& s, const char* why = "") {
+        actions_->emplace_back(
+            Log{what + std::to_string(s.id) + " replica group " + std::to_string(s.replica_group) + why});
     }
     template <class Map>
     static auto* find(Map& map, const typename Map::key_type& id) {
@@ -241,43 +247,44 @@
     }
     Request* find_request(RequestId id) { return find(requests_, id); }
     // None while its zone is silent: it may well be there still, and is used again as soon as it is heard.
-    Server* primary(const Group& g) {
-        auto* p = g.primary ? find(servers_, *g.primary) : nullptr;
-        return p && !zones_.silent(p->zone) ? p : nullptr;
+    Endpoint* primary(const ReplicaGroup& g) {
+        auto* p = g.primary ? find(endpoints_, *g.primary) : nullptr;
+        return p && !zones_.is_silent(p->zone) ? p : nullptr;
     }
 
     void start() {
         begun_ = now_;
         actions_->emplace_back(SetTimer{kTick, kTickToken});
-        if (set_.list_on_request) actions_->emplace_back(SetTimer{calls_.first(unit()), kWatchToken});
+        if (set_.discovery_is_polled)
+            actions_->emplace_back(SetTimer{poll_backoff_.first_poll_delay(unit()), kWatchToken});
     }
 
     // ---- events ----
     void on(const Arrival& a) {
-        if (a.klass < 0 || static_cast<std::size_t>(a.klass) >= set_.classes.size()) {
-            actions_->emplace_back(Refuse{a.request, 0, Cause::unknown_class});
+        if (a.request_class < 0 || static_cast<std::size_t>(a.request_class) >= set_.classes.size()) {
+            actions_->emplace_back(Reject{a.request, 0, RejectionReason::unknown_class});
             return;
         }
         auto& r = requests_[a.request] = Request{a, now_};
         r.required = required_position(r);
-        deadlines_.emplace(a.not_after, a.request);
+        deadlines_.emplace(a.deadline, a.request);
         retry_credit_ = std::min(kRetryMost, retry_credit_ + kRetryPerArrival);
-        auto& g = group(a.group);
-        comeback_.asked(g.id);
-        if (g.probed_at < 0 && set_.may_probe) probe_all(g, first_probe_);
-        const bool write = klass(r).need == Need::write;
-        if (write) g.write_worth.add(now_, klass(r).worth);
-        if (write && !admit_write(g)) return refuse(r, throttle_wait(g), Cause::throttled);
-        if (!write && !admit_read(g, r)) return give_up(r, Cause::not_admitted);
+        auto& g = group(a.replica_group);
+        startup_phase_.on_request(g.id);
+        if (g.probed_at < 0 && set_.health_checks_allowed) probe_all(g, first_probe_);
+        const bool write = request_class(r).is_write;
+        if (write) g.write_worth.add(now_, request_class(r).priority_weight);
+        if (write && !admit_write(g)) return refuse(r, throttle_wait(g), RejectionReason::write_throttled);
+        if (!write && !admit_read(g, r)) return give_up(r, RejectionReason::read_not_admitted);
         dispatch(r);
     }
 
     void on(const AttemptEnded& e) {
-        auto* s = find(servers_, e.server);
+        auto* s = find(endpoints_, e.endpoint);
         if (s) {
             settle(*s, e);
-            learn(*s, e.reported);
-            learn(*s, e.standing);
+            learn(*s, e.reported_status);
+            learn(*s, e.status);
         }
         auto* found = find_request(e.request);
         if (!found) return;
@@ -287,42 +294,42 @@
         if (attempt.open) --r.open;
         attempt.open = false;
         attempt.may_have_run = !proves_not_run(e.outcome);
-        if (e.outcome == Outcome::ok && klass(r).need == Need::write) {
-            group(r.a.group).committed_at = now_;
-            mark_write(r, e.standing.position.value_or(now_));
+        if (e.outcome == Outcome::ok && request_class(r).is_write) {
+            group(r.a.replica_group).committed_at = now_;
+            mark_write(r, e.status.position.value_or(now_));
         }
         if (e.request_ended) return close(r, e.outcome == Outcome::ok ? e.attempt : -1);
-        if (now_ >= r.a.not_after) return give_up(r, Cause::out_of_time);
+        if (now_ >= r.a.deadline) return give_up(r, RejectionReason::deadline_exceeded);
         if (r.open > 0) return;
-        if (!may_send_again(r)) return give_up(r, Cause::may_not_repeat);
+        if (!may_send_again(r)) return give_up(r, RejectionReason::not_retryable);
         // An error from a second server is the request's own: guards the retry budget and the servers against
         // requests that fail everywhere. Harm: where two servers fail for their own reasons the read is lost.
         if (e.outcome == Outcome::error && std::exchange(r.erred, true))
-            return give_up(r, Cause::failing, set_.max_retry_after_us);
-        if (e.outcome != Outcome::miss) {
-            if (retry_credit_ < 1) return give_up(r, Cause::retry_budget, advice(r));
+            return give_up(r, RejectionReason::repeated_error, set_.max_retry_after_us);
+        if (e.outcome != Outcome::not_eligible) {
+            if (retry_credit_ < 1) return give_up(r, RejectionReason::retry_budget_exhausted, advice(r));
             retry_credit_ -= 1;
         }
         dispatch(r);
     }
 
     void on(const AnswerStarted& e) {  // the answer is the client's; how long the rest takes says nothing
-        on(AttemptEnded{e.request, e.attempt, e.server, Outcome::ok, e.latency_us, true, false, {}, {}});
+        on(AttemptEnded{e.request, e.attempt, e.endpoint, Outcome::ok, e.latency_us, true, false, {}, {}});
     }
-    void on(const ClientGone& e) {
+    void on(const ClientDisconnected& e) {
         if (auto* r = find_request(e.request)) close(*r, -1);
     }
     void on(const TimerFired& e) {
-        if (e.token == kWatchToken) actions_->emplace_back(WatchList{});
+        if (e.token == kWatchToken) actions_->emplace_back(PollDiscovery{});
         if (e.token != kTickToken) return;
         upkeep();
         actions_->emplace_back(SetTimer{kTick, kTickToken});
     }
-    void on(const ProbeEnded& e) {
-        auto* s = find(servers_, e.server);
+    void on(const HealthCheckEnded& e) {
+        auto* s = find(endpoints_, e.endpoint);
         if (!s || e.outcome != Outcome::ok) return;
-        if (zones_.silent(s->zone)) heard(*s);  // else an answer to a probe says little of how it serves
-        learn(*s, e.reported);
+        if (zones_.is_silent(s->zone)) heard(*s);  // else an answer to a probe says little of how it serves
+        learn(*s, e.reported_status);
     }
 
     // ---- answers: every send, refusal and failure passes here and is checked against the rules ----
@@ -331,56 +338,62 @@
                            [](const Attempt& a) { return a.may_have_run; });
     }
     bool may_refuse(const Request& r) const {
-        const auto& c = klass(r);
-        const bool keyed = c.effect == Effect::keyed && c.repeat_scope == RepeatScope::everywhere;
-        return c.effect == Effect::safe || keyed || !risky(r);
+        const auto& c = request_class(r);
+        const bool keyed =
+            c.idempotency == Idempotency::keyed && c.idempotency_scope == IdempotencyScope::fleet;
+        return c.idempotency == Idempotency::idempotent || keyed || !risky(r);
     }
     bool may_send_again(const Request& r) const {
-        const auto& c = klass(r);
-        if (static_cast<int>(r.attempts.size()) >= set_.max_attempts || now_ >= r.a.not_after) return false;
-        if (r.open > 0 && !set_.second_copies) return false;
-        if (c.effect == Effect::safe || !risky(r)) return true;
+        const auto& c = request_class(r);
+        if (static_cast<int>(r.attempts.size()) >= set_.max_attempts || now_ >= r.a.deadline) return false;
+        if (r.open > 0 && !set_.hedging_allowed) return false;
+        if (c.idempotency == Idempotency::idempotent || !risky(r)) return true;
         return window_left(r) > 0;
     }
     std::optional<Micros> window_left(const Request& r) const {  // for a repeat of what may have run
-        if (klass(r).effect != Effect::keyed || !risky(r)) return std::nullopt;
-        return klass(r).repeat_window_us - kRepeatMargin - (now_ - r.first_risk);
+        if (request_class(r).idempotency != Idempotency::keyed || !risky(r)) return std::nullopt;
+        return request_class(r).idempotency_window_us - kRepeatMargin - (now_ - r.first_risk);
     }
-    bool may_use(const Request& r, const Server& s) const {
-        if (s.group != r.a.group || s.told_at >= 0) return false;
-        return klass(r).repeat_scope != RepeatScope::zone || !window_left(r) || s.zone == r.risk_zone;
+    bool may_use(const Request& r, const Endpoint& s) const {
+        if (s.replica_group != r.a.replica_group || s.told_at >= 0) return false;
+        return request_class(r).idempotency_scope != IdempotencyScope::zone || !window_left(r) ||
+               s.zone == r.risk_zone;
     }
-    bool send(Request& r, Server& s, Micros cap) {
+    bool send(Request& r, Endpoint& s, Micros cap) {
         if (!may_send_again(r) || !may_use(r, s)) return false;
         const double work = work_of(r);
         const auto within = window_left(r);
-        if (klass(r).effect != Effect::safe && !risky(r)) r.first_risk = now_, r.risk_zone = s.zone;
+        if (request_class(r).idempotency != Idempotency::idempotent && !risky(r))
+            r.first_risk = now_, r.risk_zone = s.zone;
         s.out[{r.a.request, static_cast<int>(r.attempts.size())}] =
             Out{now_, usual(r) * std::max({1.0, spread_, slowness(s)}), work};
         s.out_work += work, busy_[s.id] = &s;
         if (is_cold(s)) s.cold_credit -= work;
         r.attempts.push_back(Attempt{s.id});
-        ++r.open, r.queued = false, r.blocked = Cause::no_member;
-        actions_->emplace_back(Send{r.a.request, s.id, cap, within});
+        ++r.open, r.queued = false, r.blocked = RejectionReason::no_eligible_endpoint;
+        actions_->emplace_back(Forward{r.a.request, s.id, cap, within});
         return true;
     }
-    void refuse(Request& r, Micros wait, Cause cause) {
-        if (!set_.tells_retry_after) wait = 0;
+    void refuse(Request& r, Micros wait, RejectionReason cause) {
+        if (!set_.retry_after_supported) wait = 0;
         if (may_refuse(r))
-            actions_->emplace_back(Refuse{r.a.request, std::min(wait, set_.max_retry_after_us), cause});
+            actions_->emplace_back(Reject{r.a.request, std::min(wait, set_.max_retry_after_us), cause});
         else
             actions_->emplace_back(Fail{r.a.request, cause});
         close(r, -1);
     }
-    Micros advice(const Request& r) const { return us(kRetryShare * num(klass(r).aim_us)); }
-    void give_up(Request& r, Cause cause, Micros wait = 0) {
-        if (r.blocked == Cause::not_new_enough) group(r.a.group).short_worth.add(now_, klass(r).worth);
+    Micros advice(const Request& r) const {
+        return us(kRetryShare * num(request_class(r).latency_objective_us));
+    }
+    void give_up(Request& r, RejectionReason cause, Micros wait = 0) {
+        if (r.blocked == RejectionReason::too_stale)
+            group(r.a.replica_group).short_worth.add(now_, request_class(r).priority_weight);
         if (!wait) wait = us(num(advice(r)) * (0.5 + unit()));
         refuse(r, wait, cause);
     }
     void close(Request& r, int answered) {
         judge_read(r, answered >= 0);
-        if (set_.may_cancel)
+        if (set_.cancel_allowed)
             for (std::size_t i = 0; i < r.attempts.size(); ++i)
                 if (r.attempts[i].open && static_cast<int>(i) != answered)
                     actions_->emplace_back(Cancel{r.a.request, static_cast<int>(i)});
@@ -388,54 +401,59 @@
     }
 
     // ---- list ----
-    void on(const ServerList& l) {
-        if (l.kind == ListKind::failed || !l.entries) {
-            actions_->emplace_back(SetTimer{calls_.failed(l.call, unit()), kWatchToken});
+    void on(const EndpointList& l) {
+        if (l.kind == EndpointListKind::failed || !l.entries) {
+            actions_->emplace_back(
+                SetTimer{poll_backoff_.delay_after_failure(l.failed_poll, unit()), kWatchToken});
             return;
         }
-        if (l.kind != ListKind::cached) comeback_.list_told(), calls_.told();
-        if (l.kind != ListKind::changes)
-            for (auto& [id, s] : servers_)
+        if (l.kind != EndpointListKind::cached)
+            startup_phase_.on_list_received(), poll_backoff_.on_list_received();
+        if (l.kind != EndpointListKind::changes)
+            for (auto& [id, s] : endpoints_)
                 if (std::none_of(l.entries->begin(), l.entries->end(),
-                                 [id = id](const ServerEntry& e) { return e.server == id; }))
+                                 [id = id](const EndpointEntry& e) { return e.endpoint == id; }))
                     told_gone(s);
         for (const auto& e : *l.entries) apply(e);
         for (auto& [id, g] : groups_) draw_subset(g);
     }
-    void draw_subset(Group& g) {
-        std::vector<Candidate> all;
+    void draw_subset(ReplicaGroup& g) {
+        std::vector<SubsetCandidate> all;
         for (const auto id : g.members)
-            if (servers_[id].first = false; servers_[id].told_at < 0) all.push_back({id, servers_[id].zone});
-        for (const auto id : subset(key_, set_.zone, all, set_.routers)) servers_[id].first = true;
-    }
-    void apply(const ServerEntry& e) {
-        const bool known = servers_.count(e.server) > 0;
-        if (!known && e.state == ServerState::gone) return;
-        auto& s = servers_[e.server];
+            if (endpoints_[id].first = false; endpoints_[id].told_at < 0)
+                all.push_back({id, endpoints_[id].zone});
+        for (const auto id : select_subset(key_, set_.zone, all, set_.router_count))
+            endpoints_[id].first = true;
+    }
+    void apply(const EndpointEntry& e) {
+        const bool known = endpoints_.count(e.endpoint) > 0;
+        if (!known && e.state == EndpointState::removed) return;
+        auto& s = endpoints_[e.endpoint];
         if (!known) {
-            s.id = e.server, s.group = e.group, s.zone = e.zone;
-            auto& members = group(e.group).members;
-            members.insert(std::lower_bound(members.begin(), members.end(), e.server), e.server);
+            s.id = e.endpoint, s.replica_group = e.replica_group, s.zone = e.zone;
+            auto& members = group(e.replica_group).members;
+            members.insert(std::lower_bound(members.begin(), members.end(), e.endpoint), e.endpoint);
         }
-        if (e.state == ServerState::gone) return told_gone(s);
-        if (e.started_at > 0 && e.started_at > s.cold_since && now_ - e.started_at < set_.warm_after_us) {
+        if (e.state == EndpointState::removed) return told_gone(s);
+        if (e.started_at > 0 && e.started_at > s.cold_since &&
+            now_ - e.started_at < set_.slow_start_duration_us) {
             make_cold(s, e.started_at);
             s.trial_at = now_;  // it runs again: no need to wait for the next trial
         }
-        s.draining = e.state == ServerState::draining;
+        s.draining = e.state == EndpointState::draining;
         if (!s.draining || s.told_at < 0) s.told_at = s.draining ? now_ : -1;
         if (set_.listed_role == ListedRole::none || !e.listed_primary) return;
-        auto& g = group(e.group);
+        auto& g = group(e.replica_group);
         if (!g.primary && s.role != Role::replica && s.told_at < 0) g.primary = s.id;
     }
-    void told_gone(Server& s) {
+    void told_gone(Endpoint& s) {
         s.draining = false;
-        if (s.told_at < 0 && !set_.gone_is_advice) s.told_at = now_;
-        auto& g = group(s.group);
+        if (s.told_at < 0 && !set_.removal_is_advisory) s.told_at = now_;
+        auto& g = group(s.replica_group);
         // Where being gone is advice only, a primary that answers stays one: the list may be wrong.
-        if (g.primary == s.id && !set_.gone_is_advice) lose_primary(g, " gone");
+        if (g.primary == s.id && !set_.removal_is_advisory) lose_primary(g, " removed");
     }
-    Group& group(int id) {
+    ReplicaGroup& group(int id) {
         auto& g = groups_[id];
         if (g.waiting.empty()) {
             g.id = id, g.passed = begun_;
@@ -445,20 +463,20 @@
         }
         return g;
     }
-    static bool awaited(const Group& g) {
+    static bool awaited(const ReplicaGroup& g) {
         return std::any_of(g.waiting.begin(), g.waiting.end(), [](const auto& q) { return !q.empty(); });
     }
     // Each member with that chance: of a budget for all routers each has a share, mostly less than one probe.
-    void probe_all(Group& g, double chance) {
+    void probe_all(ReplicaGroup& g, double chance) {
         g.probed_at = now_;
         for (const auto id : g.members)
-            if (servers_[id].told_at < 0 && (chance >= 1 || unit() < chance))
-                actions_->emplace_back(Probe{id});
+            if (endpoints_[id].told_at < 0 && (chance >= 1 || unit() < chance))
+                actions_->emplace_back(StartHealthCheck{id});
     }
 
     // ---- lag record ----
-    void learn(Server& s, const Standing& st) {
-        auto& g = group(s.group);
+    void learn(Endpoint& s, const ReplicationStatus& st) {
+        auto& g = group(s.replica_group);
         if (st.position && *st.position <= now_) {
             if (*st.position >= s.position) {
                 s.position = *st.position, s.heard_at = now_;
@@ -474,18 +492,18 @@
         const bool old = st.role == Role::primary && s.role == Role::replica && st.position < s.role_at;
         if (st.role == Role::unknown || (st.position && old)) return;
         s.role_at = now_;
-        comeback_.heard(g.id);
+        startup_phase_.on_role_reported(g.id);
         if (st.role == Role::primary) {
             const bool newest = !st.position || *st.position >= g.primary_position;
             if (g.primary == s.id || !newest) return;
             // Without a primary positions stand still; a speed across that time would set a false throttle.
             if (g.lost_at >= 0 || g.primary) {
                 g.commits.clear();
-                for (const auto id : g.members) servers_[id].history.clear();
+                for (const auto id : g.members) endpoints_[id].history.clear();
             }
             s.role = Role::primary;
             g.primary = s.id;
-            log("primary found: server ", s);
+            log("primary found: endpoint ", s);
         } else {
             s.role = Role::replica;
             if (g.primary == s.id) lose_primary(g, " now a replica");
@@ -493,24 +511,24 @@
     }
     // The position a server can be taken to have by now. Where servers do not check reads, only a position
     // that was told counts; where they do, it is carried on at the speed last seen.
-    Time position_now(const Server& s) const {
+    Time position_now(const Endpoint& s) const {
         if (s.position < 0) return -1;
-        const auto& g = groups_.at(s.group);
+        const auto& g = groups_.at(s.replica_group);
         if (set_.position_check == PositionCheck::none || !g.primary) return s.position;
         const double v = std::clamp(speed(s.history).value_or(1.0), 0.0, 1.0);
         return std::min<Time>(now_, s.position + static_cast<Time>(v * num(now_ - s.heard_at)));
     }
     Time required_position(const Request& r) {
-        if (klass(r).need == Need::fresh) return r.arrived;
-        if (klass(r).need != Need::session) return 0;
-        if (set_.session_age_told)
+        if (request_class(r).consistency == Consistency::linearizable) return r.arrived;
+        if (request_class(r).consistency != Consistency::session) return 0;
+        if (set_.last_write_age_reported)
             return r.a.last_write_age_us ? r.arrived - *r.a.last_write_age_us + 1000 : 0;
-        const auto it = marks_.find({r.a.group, r.a.session});
-        return it == marks_.end() ? group(r.a.group).passed : it->second;
+        const auto it = marks_.find({r.a.replica_group, r.a.session});
+        return it == marks_.end() ? group(r.a.replica_group).passed : it->second;
     }
     void mark_write(const Request& r, Time position) {
         if (!r.a.session) return;
-        auto& mark = marks_[{r.a.group, r.a.session}];
+        auto& mark = marks_[{r.a.replica_group, r.a.session}];
         mark = std::max(mark, position);
     }
     // A mark may go once all members have passed it. The newest such still binds sessions without a mark: a
@@ -518,15 +536,17 @@
     void forget_past() {
         forgot_at_ = now_;
         std::map<int, Time> passed;
-        for (auto it = servers_.begin(); it != servers_.end();) {
+        for (auto it = endpoints_.begin(); it != endpoints_.end();) {
             const auto& s = it->second;
             const bool left = s.told_at >= 0 && !s.draining;
-            if (!left) passed[s.group] = std::min(passed.emplace(s.group, now_).first->second, s.position);
+            if (!left)
+                passed[s.replica_group] =
+                    std::min(passed.emplace(s.replica_group, now_).first->second, s.position);
             // Guards against growth where members are replaced for good.
             const bool past = left && s.out.empty() && now_ - s.told_at > kForgetAfter;
-            auto& members = group(s.group).members;
+            auto& members = group(s.replica_group).members;
             if (past) members.erase(std::find(members.begin(), members.end(), s.id));
-            it = past ? servers_.erase(it) : std::next(it);
+            it = past ? endpoints_.erase(it) : std::next(it);
         }
         for (auto it = marks_.begin(); it != marks_.end();) {
             auto& g = group(it->first.first);
@@ -536,33 +556,37 @@
         }
     }
     // Whether reads may take its data for the present.
-    bool proven(const Server& p) const { return p.role == Role::primary || comeback_.believes_listed(); }
-    bool meets(const Server& s, const Request& r) const {
-        const auto& c = klass(r);
-        if (c.need == Need::any) return true;
-        const auto& g = groups_.at(s.group);
-        if (g.primary == s.id && (c.need == Need::write || proven(s))) return true;
-        if (c.need == Need::write) return false;
-        const Time need = c.need == Need::bounded ? now_ - c.staleness_bound_us : r.required;
+    bool proven(const Endpoint& p) const {
+        return p.role == Role::primary || startup_phase_.trusts_listed_primary();
+    }
+    bool meets(const Endpoint& s, const Request& r) const {
+        const auto& c = request_class(r);
+        if (!c.is_write && c.consistency == Consistency::any) return true;
+        const auto& g = groups_.at(s.replica_group);
+        if (g.primary == s.id && (c.is_write || proven(s))) return true;
+        if (c.is_write) return false;
+        const Time need =
+            c.consistency == Consistency::bounded_staleness ? now_ - c.staleness_bound_us : r.required;
         if (need <= 0) return true;
         const bool checked = set_.position_check != PositionCheck::none;
         const Time at = position_now(s);
         if (at < 0) return checked;
-        const Micros patience = set_.position_check == PositionCheck::wait && c.need != Need::bounded
-                                    ? set_.position_wait_us / 2
-                                    : 0;
+        const Micros patience =
+            set_.position_check == PositionCheck::wait && c.consistency != Consistency::bounded_staleness
+                ? set_.position_wait_us / 2
+                : 0;
         return at + patience >= need;
     }
 
     // ---- write throttle (the design's mechanism) ----
     // A group is throttled while its slowest heard replica lags past the target; writes are then admitted at
     // the offered rate x apply speed / commit speed. Entries lapse unless renewed.
-    void renew_throttle(Group& g) {
+    void renew_throttle(ReplicaGroup& g) {
         const auto commit = speed(g.commits);
         if (!commit || !g.primary || g.committed_at < now_ - rate_window(g.commits)) return;
-        const Server* slowest = nullptr;
+        const Endpoint* slowest = nullptr;
         for (const auto id : g.members) {
-            const auto& s = servers_[id];
+            const auto& s = endpoints_[id];
             if (s.told_at >= 0 || s.ejected || g.primary == id || s.heard_at < now_ - rate_window(s.history))
                 continue;
             // Departure: one that stands still is paused or behind a long query; refusals move nothing.
@@ -580,13 +604,13 @@
             // reads given up for want of a new member are worth more than the writes it would refuse. Guards
             // dear writes against any cause of lag; could let lag grow while reads can do without.
             if (apply && g.short_worth.per_second(now_) > (1 - ratio) * g.write_worth.per_second(now_)) {
-                if (now_ >= g.throttled_until) log("throttle on: slowest ", *slowest);
+                if (now_ >= g.throttled_until) log("write throttle active: slowest ", *slowest);
                 g.ratio = ratio;
                 g.throttled_until = now_ + kThrottleLapse;
             }
         }
     }
-    bool admit_write(Group& g) {
+    bool admit_write(ReplicaGroup& g) {
         g.offered.add(now_, 1);
         if (now_ >= g.throttled_until) return true;
         g.credit = std::min(2.0, g.credit + g.ratio);
@@ -594,7 +618,7 @@
         g.credit -= 1;
         return true;
     }
-    Micros throttle_wait(const Group& g) {  // when the excess would fit
+    Micros throttle_wait(const ReplicaGroup& g) {  // when the excess would fit
         const double rate = std::max(0.1, g.offered.per_second(now_) * g.ratio);
         return us((1 - g.credit + unit()) / rate * 1e6) + kTick;
     }
@@ -602,8 +626,8 @@
     // Departure: the design's formula for reads of a class, with those served in time as what is sustained.
     // Limits by work in flight say nothing where each of many routers has a request or two out. Guards
     // against overload of any cause and jams of late answers; could refuse reads after an outage is over.
-    bool admit_read(Group& g, const Request& r) {
-        const double prior = std::max(kServedPrior, kServedPriorShare * set_.routers);
+    bool admit_read(ReplicaGroup& g, const Request& r) {
+        const double prior = std::max(kServedPrior, kServedPriorShare * set_.router_count);
         const double served = kServedMost * g.reads_served[index(r)].seen(now_) + prior;
         const double offered = g.reads_offered[index(r)].seen(now_) + prior;
         if (unit() < std::max(kServedLeast, served / offered)) return true;
@@ -611,28 +635,28 @@
         return false;
     }
     void judge_read(const Request& r, bool served) {
-        if (klass(r).need == Need::write) return;
-        const bool late = now_ - r.arrived > klass(r).aim_us;
-        auto& g = group(r.a.group);
+        if (request_class(r).is_write) return;
+        const bool late = now_ - r.arrived > request_class(r).latency_objective_us;
+        auto& g = group(r.a.replica_group);
         if (served || late) g.reads_offered[index(r)].add(now_, 1);
         if (served && !late) g.reads_served[index(r)].add(now_, 1);
     }
 
     // ---- primary ----
-    void lose_primary(Group& g, const char* why) {
+    void lose_primary(ReplicaGroup& g, const char* why) {
         if (!g.primary) return;
-        log("primary lost: server ", servers_[*g.primary], why);
+        log("primary lost: endpoint ", endpoints_[*g.primary], why);
         g.primary.reset(), g.lost_at = now_;
     }
     // With no primary known, now and then one write goes to a member that may be it; others decline.
-    Server* search_primary(Group& g, const Request& r) {
-        const Micros every = std::max(kSearchEvery, set_.routers * kSearchShare);
+    Endpoint* search_primary(ReplicaGroup& g, const Request& r) {
+        const Micros every = std::max(kSearchEvery, set_.router_count * kSearchShare);
         if (now_ - g.searched_at < (g.primary ? kSearchSpared : 1) * every) return nullptr;
-        Server* drawn = nullptr;
+        Endpoint* drawn = nullptr;
         int count = 0;
         for (const auto id : g.members) {
-            auto& s = servers_[id];
-            if (s.ejected || zones_.silent(s.zone)) continue;
+            auto& s = endpoints_[id];
+            if (s.ejected || zones_.is_silent(s.zone)) continue;
             if (s.role == Role::replica && now_ - s.role_at < kRoleStale) continue;
             if (!may_use(r, s) || !cold_room(s, work_of(r))) continue;
             if (unit() * ++count < 1) drawn = &s;
@@ -642,20 +666,21 @@
     }
 
     // ---- cold starts ----
-    static void make_cold(Server& s, Time since) { s.cold_since = since, s.cold_at = -1; }
-    double warm_share(const Server& s) const {
-        if (s.cold_since < 0 || now_ - s.cold_since >= set_.warm_after_us) return 1;
-        const double age = num(now_ - s.cold_since) / num(set_.warm_after_us);
-        return set_.cold_share + (1 - set_.cold_share) * std::max(0.0, age);
-    }
-    bool is_cold(const Server& s) const { return warm_share(s) < 1; }
+    static void make_cold(Endpoint& s, Time since) { s.cold_since = since, s.cold_at = -1; }
+    double warm_share(const Endpoint& s) const {
+        if (s.cold_since < 0 || now_ - s.cold_since >= set_.slow_start_duration_us) return 1;
+        const double age = num(now_ - s.cold_since) / num(set_.slow_start_duration_us);
+        return set_.slow_start_min_capacity_ratio +
+               (1 - set_.slow_start_min_capacity_ratio) * std::max(0.0, age);
+    }
+    bool is_cold(const Endpoint& s) const { return warm_share(s) < 1; }
     // What a member carries for this router, smoothed: below its capacity. It sinks only while all are well:
     // in trouble those not yet known to be dead carry nothing, which says nothing of what a member can do.
-    void rate_members(Group& g) {
+    void rate_members(ReplicaGroup& g) {
         g.rated_at = now_;
         double sum = 0, count = 0, warm = 0;
         for (const auto id : g.members) {
-            const auto& s = servers_[id];
+            const auto& s = endpoints_[id];
             if (s.told_at >= 0) continue;
             ++count;
             if (s.ejected || is_cold(s)) continue;
@@ -669,10 +694,11 @@
     // Work flows to a cold server at its warm-up share of that; where it is less than one request at a time,
     // in turns: from a random start, open as the credit comes in, lost if not taken soon. Guards against
     // small shares of many routers making a burst; could leave a server idle where requests are rare.
-    bool cold_room(Server& s, double work) {
+    bool cold_room(Endpoint& s, double work) {
         if (!is_cold(s)) return true;
         const double push = std::max(1.0, kColdPush * set_.overload_multiple) * warm_share(s);
-        const double rate = push * std::max(kColdFloor / set_.routers, groups_.at(s.group).member_rate);
+        const double rate =
+            push * std::max(kColdFloor / set_.router_count, groups_.at(s.replica_group).member_rate);
         if (s.cold_at < 0) s.cold_at = now_, s.cold_credit = unit() * work;
         s.cold_credit += rate * num(now_ - s.cold_at) / 1e6;
         s.cold_at = now_;
@@ -683,75 +709,76 @@
     }
 
     // ---- health ----
-    void settle(Server& s, const AttemptEnded& e) {
+    void settle(Endpoint& s, const AttemptEnded& e) {
         const auto it = s.out.find({e.request, e.attempt});
         if (it == s.out.end()) return;
         const auto out = it->second;
         if (s.out.erase(it); s.out.empty()) busy_.erase(s.id);
         s.out_work = s.out.empty() ? 0 : s.out_work - out.work;
-        const bool answered = e.outcome == Outcome::ok || e.outcome == Outcome::miss ||
-                              e.outcome == Outcome::full || e.outcome == Outcome::error;
+        const bool answered = e.outcome == Outcome::ok || e.outcome == Outcome::not_eligible ||
+                              e.outcome == Outcome::overloaded || e.outcome == Outcome::error;
         if (answered) heard(s);
         if (e.outcome == Outcome::timeout || e.outcome == Outcome::connect_failed)
-            ++s.unheard, zones_.unanswered(now_, s.zone, s.id, num(e.latency_us), out.expected_us);
+            ++s.unheard, zones_.on_timeout(now_, s.zone, s.id, num(e.latency_us), out.expected_us);
         if (e.outcome == Outcome::ok) s.carried.add(now_, out.work);
         // A time-out is a latency too: guards against members that answer a few well and lose the rest.
         const auto* r = find_request(e.request);
         if (r && (e.outcome == Outcome::ok || e.outcome == Outcome::timeout)) {
             auto& u = usual_[index(*r)];
             const double seen = num(e.latency_us) / u;
-            u = std::min(u * (seen > 1 ? 1.01 : 0.99), kUsualMost * num(klass(*r).aim_us));
+            u = std::min(u * (seen > 1 ? 1.01 : 0.99),
+                         kUsualMost * num(request_class(*r).latency_objective_us));
             judge_speed(s, seen);
             if (answered) spread_ += kFasterStep * (std::min(seen, kSlowMost) - spread_);
         }
-        if (e.outcome == Outcome::full || e.outcome == Outcome::error) judge_speed(s, kSlowMost);
+        if (e.outcome == Outcome::overloaded || e.outcome == Outcome::error) judge_speed(s, kSlowMost);
         // Several in a row: a flaky network breaks single connections, and stale ones break when used again.
         const bool cut = e.outcome == Outcome::connect_failed || e.outcome == Outcome::reset;
-        if (cut && !e.on_kept && ++s.cuts >= kCutsInARow) eject(s, true);
+        if (cut && !e.on_reused_connection && ++s.cuts >= kCutsInARow) eject(s, true);
     }
     // Where answers come seldom the last one is most of what is known, and what it said ages.
-    void judge_speed(Server& s, double seen) {
+    void judge_speed(Endpoint& s, double seen) {
         const double news = std::min(kNewsMost, 1 - std::exp(-num(now_ - s.judged_at) / kLongWindow));
         const double was = slowness(s), step = std::max(seen > was ? kSlowerStep : kFasterStep, news);
         s.slowness = std::max(kSlowLeast, was + step * (std::min(seen, kSlowMost) - was));
         s.judged_at = now_;
     }
-    double slowness(const Server& s) const {
+    double slowness(const Endpoint& s) const {
         return 1 + (s.slowness - 1) * std::exp(-num(now_ - s.judged_at) / kLongWindow);
     }
-    void heard(Server& s) {
+    void heard(Endpoint& s) {
         s.answered_at = now_, s.cuts = s.unheard = 0;
         if (s.ejected) restore(s);
-        if (!zones_.answered(now_, s.zone)) return;
-        log("zone back: server ", s);
-        for (auto& [id, other] : servers_)
+        if (!zones_.on_answer(now_, s.zone)) return;
+        log("zone restored: endpoint ", s);
+        for (auto& [id, other] : endpoints_)
             if (other.zone == s.zone) other.trial_at = now_;
     }
     // Its members are used again as soon as one of them answers a probe; without probes none is left out.
     void judge_zones() {
-        if (!set_.may_probe) return;
-        std::vector<ZoneHealth::Waiting> waiting;
+        if (!set_.health_checks_allowed) return;
+        std::vector<ZoneHealth::PendingAttempt> waiting;
         for (const auto& [id, s] : busy_)
             for (const auto& [key, out] : s->out)
                 waiting.push_back({s->zone, id, out.sent_at, out.expected_us});
-        for (const int zone : zones_.judge(now_, waiting)) {
+        for (const int zone : zones_.find_newly_silent(now_, waiting)) {
             actions_->emplace_back(Log{"zone silent: " + std::to_string(zone)});
             copy_from(zone);
         }
-        for (const int zone : zones_.trials(now_, set_.routers, unit())) {
-            Server* drawn = nullptr;
+        for (const int zone : zones_.due_health_checks(now_, set_.router_count, unit())) {
+            Endpoint* drawn = nullptr;
             int count = 0;
-            for (auto& [id, s] : servers_)
+            for (auto& [id, s] : endpoints_)
                 if (s.zone == zone && s.told_at < 0 && unit() * ++count < 1) drawn = &s;
-            if (drawn) actions_->emplace_back(Probe{drawn->id});
+            if (drawn) actions_->emplace_back(StartHealthCheck{drawn->id});
         }
     }
     // Reads that wait in a zone fallen silent get a copy elsewhere, paid for like any further try.
     void copy_from(int zone) {
         std::vector<RequestId> waiting;
         for (const auto& [id, r] : requests_)
-            if (r.open == 1 && klass(r).effect == Effect::safe &&
-                servers_[r.attempts.back().server].zone == zone)
+            if (r.open == 1 && request_class(r).idempotency == Idempotency::idempotent &&
+                endpoints_[r.attempts.back().endpoint].zone == zone)
                 waiting.push_back(id);
         std::sort(waiting.begin(), waiting.end());
         for (const auto id : waiting) {
@@ -760,21 +787,21 @@
             if (auto* s = choose(r); s && send(r, *s, 0)) retry_credit_ -= 1;
         }
     }
-    void eject(Server& s, bool cut) {
+    void eject(Endpoint& s, bool cut) {
         if (s.ejected) return;
         s.ejected = true, s.ejected_at = now_;
         s.trial_at = now_ + (s.trial_wait = kTrialFirst);
-        log("server out: ", s, cut ? " cut" : " silent");
-        if (auto& g = group(s.group); g.primary == s.id) lose_primary(g, " no answer");
+        log("endpoint ejected: ", s, cut ? " disconnected" : " silent");
+        if (auto& g = group(s.replica_group); g.primary == s.id) lose_primary(g, " no answer");
     }
-    void restore(Server& s) {
-        log("server back: ", s);
+    void restore(Endpoint& s) {
+        log("endpoint restored: ", s);
         if (now_ - s.ejected_at > kShortAbsence) make_cold(s, now_);
         s.ejected = false, s.slowness = 1, s.judged_at = now_;
     }
     // How unlikely its silence is: the sum, over all it holds, of the time unanswered over the expected one.
     // Guards against verdicts on one slow request; slower to find a hung server that holds just one.
-    bool silent(const Server& s) const {
+    bool silent(const Endpoint& s) const {
         double evidence = 0, longest = 0, expected = 1e18;
         for (const auto& [key, out] : s.out) {
             const double unanswered = num(now_ - std::max(out.sent_at, s.answered_at));
@@ -788,64 +815,69 @@
     }
 
     // ---- choosing a server ----
-    bool room(Server& s, const Request& r, double share) {
+    bool room(Endpoint& s, const Request& r, double share) {
         const double work = work_of(r);
-        const double wait = (usual(r) + kRoomShare * num(klass(r).aim_us)) / 1e6;
-        const double most =
-            work * std::max(kFloorLeast, kFloorRequests / set_.routers) + s.carried.per_second(now_) * wait;
+        const double wait = (usual(r) + kRoomShare * num(request_class(r).latency_objective_us)) / 1e6;
+        const double most = work * std::max(kFloorLeast, kFloorRequests / set_.router_count) +
+                            s.carried.per_second(now_) * wait;
         return s.out_work + work <= most * share && cold_room(s, work);
     }
-    double weight(const Server& s, const Request& r, bool is_primary) const {
+    double weight(const Endpoint& s, const Request& r, bool is_primary) const {
         double w = 1 / std::pow(slowness(s) * (s.out_work + work_of(r)) / warm_share(s), kDrawPower);
         if (is_primary) w *= kPrimaryReadWeight;
-        if (set_.cross_zone_charge > 0 && s.zone != set_.zone) w *= 0.5;
+        if (set_.cross_zone_cost > 0 && s.zone != set_.zone) w *= 0.5;
         return w;
     }
-    Server* choose(Request& r) {
-        auto& g = group(r.a.group);
+    Endpoint* choose(Request& r) {
+        auto& g = group(r.a.replica_group);
         auto* p = primary(g);
-        if (klass(r).need == Need::write) {
-            r.blocked = Cause::no_primary;
+        if (request_class(r).is_write) {
+            r.blocked = RejectionReason::no_primary;
             if (!p) return search_primary(g, r);
             if (!may_use(r, *p)) return nullptr;
             if (room(*p, r, 1)) return p;
-            return r.blocked = is_cold(*p) ? Cause::cold : Cause::no_room, nullptr;
+            return r.blocked = is_cold(*p) ? RejectionReason::slow_start : RejectionReason::at_capacity,
+                   nullptr;
         }
-        const bool fresh = klass(r).need == Need::fresh && p && !p->ejected && proven(*p);
+        const bool fresh =
+            request_class(r).consistency == Consistency::linearizable && p && !p->ejected && proven(*p);
         if (fresh && may_use(r, *p) && room(*p, r, 1)) return p;
         return choose_for_read(g, r);
     }
-    Server* choose_for_read(Group& g, Request& r) {
-        Server *drawn = nullptr, *least_slow = nullptr;
+    Endpoint* choose_for_read(ReplicaGroup& g, Request& r) {
+        Endpoint *drawn = nullptr, *least_slow = nullptr;
         double total = 0;
-        r.blocked = Cause::no_member;
-        const auto blocked = [&r](Cause c) { r.blocked = std::max(r.blocked, c); };
-        const bool apart = klass(r).need == Need::any &&
+        r.blocked = RejectionReason::no_eligible_endpoint;
+        const auto blocked = [&r](RejectionReason c) { r.blocked = std::max(r.blocked, c); };
+        const bool apart = request_class(r).consistency == Consistency::any &&
                            usual(r) > kLongRead * *std::min_element(usual_.begin(), usual_.end());
         for (std::size_t i = 0; i < 2 * g.members.size(); ++i) {
             if (i == g.members.size() && (drawn || least_slow)) break;  // else all that are not of the subset
             const auto id = g.members[i % g.members.size()];
-            auto& s = servers_[id];
+            auto& s = endpoints_[id];
             if (s.first != (i < g.members.size())) continue;
-            if (!may_use(r, s) || (!r.attempts.empty() && r.attempts.back().server == id)) continue;
+            if (!may_use(r, s) || (!r.attempts.empty() && r.attempts.back().endpoint == id)) continue;
             if (!meets(s, r)) {
-                if (!s.ejected) blocked(room(s, r, 1) ? Cause::not_new_enough : Cause::no_room);
+                if (!s.ejected)
+                    blocked(room(s, r, 1) ? RejectionReason::too_stale : RejectionReason::at_capacity);
                 continue;
             }
-            if (zones_.silent(s.zone)) {
-                blocked(Cause::avoided);
+            if (zones_.is_silent(s.zone)) {
+                blocked(RejectionReason::ejected);
                 continue;
             }
             if (s.ejected) {
-                blocked(Cause::avoided);
+                blocked(RejectionReason::ejected);
                 if (!cold_room(s, work_of(r)) || !trial_due(s, r)) continue;
                 r.trial = true;
                 return &s;
             }
-            const bool crowded = slowness(s) * usual(r) >= kCrowded * num(klass(r).aim_us);
-            const bool is_primary = g.primary == id, spared = is_primary && klass(r).need != Need::fresh;
+            const bool crowded =
+                slowness(s) * usual(r) >= kCrowded * num(request_class(r).latency_objective_us);
+            const bool is_primary = g.primary == id,
+                       spared = is_primary && request_class(r).consistency != Consistency::linearizable;
             if ((spared && (crowded || is_cold(s))) || !room(s, r, spared ? kPrimaryReadRoom : 1)) {
-                blocked(is_cold(s) ? Cause::cold : Cause::no_room);
+                blocked(is_cold(s) ? RejectionReason::slow_start : RejectionReason::at_capacity);
                 continue;
             }
             if (apart && !is_primary) {
@@ -858,8 +890,10 @@
         }
         return least_slow ? least_slow : drawn;
     }
-    bool trial_due(Server& s, const Request& r) {
-        if (now_ < s.trial_at || klass(r).effect != Effect::safe || !r.attempts.empty()) return false;
+    bool trial_due(Endpoint& s, const Request& r) {
+        if (now_ < s.trial_at || request_class(r).idempotency != Idempotency::idempotent ||
+            !r.attempts.empty())
+            return false;
         s.trial_wait = std::min(kTrialMost, s.trial_wait * 3 / 2);
         s.trial_at = now_ + s.trial_wait;
         return true;
@@ -867,7 +901,8 @@
     void dispatch(Request& r) {
         r.trial = false;
         auto* s = choose(r);
-        const Micros cap = r.trial ? std::max<Micros>(klass(r).aim_us / 2, us(2 * usual(r))) : 0;
+        const Micros cap =
+            r.trial ? std::max<Micros>(request_class(r).latency_objective_us / 2, us(2 * usual(r))) : 0;
         if (s && send(r, *s, cap)) return;
         hold(r);
     }
@@ -875,15 +910,15 @@
     // ---- waiting ----
     void hold(Request& r) {
         if (r.queued) return;
-        auto& g = group(r.a.group);
-        const bool write = klass(r).need == Need::write;
+        auto& g = group(r.a.replica_group);
+        const bool write = request_class(r).is_write;
         const auto need = us(1.5 * usual(r));
-        const auto patience = us(kHoldShare * num(klass(r).aim_us));
-        r.hold_until = r.a.not_after - need;
+        const auto patience = us(kHoldShare * num(request_class(r).latency_objective_us));
+        r.hold_until = r.a.deadline - need;
         if (!write || primary(g))
             r.hold_until = std::min(r.hold_until, std::max(r.arrived, now_ - patience) + patience);
         // Writes wait for a primary only up to what it can clear in time, taken to be what a member carries.
-        const double clears = g.member_rate * kClearShare * num(r.a.not_after - now_);
+        const double clears = g.member_rate * kClearShare * num(r.a.deadline - now_);
         const bool overfull = write && !primary(g) &&
                               num(g.waiting[index(r)].size()) * usual(r) > clears + kWaitLeast * usual(r);
         if (r.hold_until <= now_ || overfull) return give_up(r, r.blocked);
@@ -912,30 +947,31 @@
         std::vector<std::size_t> order(set_.classes.size());
         for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
         std::stable_sort(order.begin(), order.end(), [this](std::size_t a, std::size_t b) {
-            return set_.classes[a].worth / usual_[a] > set_.classes[b].worth / usual_[b];
+            return set_.classes[a].priority_weight / usual_[a] > set_.classes[b].priority_weight / usual_[b];
         });
         return order;
     }
 
     // ---- upkeep ----
     void upkeep() {
-        if (const auto text = comeback_.moved(now_ - begun_)) actions_->emplace_back(Log{*text});
+        if (const auto text = startup_phase_.take_transition(now_ - begun_))
+            actions_->emplace_back(Log{*text});
         for (const auto& [id, s] : busy_)
             if (!s->ejected && silent(*s)) eject(*s, false);
         judge_zones();
         for (auto& [id, g] : groups_) {
             renew_throttle(g);
             if (now_ - g.rated_at > kRateEvery) rate_members(g);
-            const bool known = g.primary && proven(servers_[*g.primary]);
-            if (!known && g.probed_at >= 0 && set_.probes_report && now_ - g.probed_at > probe_every_ &&
-                (probe_every_ == kProbeEvery || awaited(g)))
+            const bool known = g.primary && proven(endpoints_[*g.primary]);
+            if (!known && g.probed_at >= 0 && set_.health_checks_report_status &&
+                now_ - g.probed_at > probe_every_ && (probe_every_ == kProbeEvery || awaited(g)))
                 probe_all(g, 1);
         }
         while (!deadlines_.empty() && deadlines_.top().first <= now_ + 2 * kTick) {
             const auto [at, id] = deadlines_.top();
             deadlines_.pop();
             auto* r = find_request(id);
-            if (r && r->open == 0) give_up(*r, r->queued ? r->blocked : Cause::out_of_time);
+            if (r && r->open == 0) give_up(*r, r->queued ? r->blocked : RejectionReason::deadline_exceeded);
         }
         if (now_ - forgot_at_ > kRateWindow) forget_past();
     }
@@ -950,12 +986,12 @@
     double spread_ = 1;  // smoothed latency of those who answer, over the usual of their class
     std::vector<Action>* actions_ = nullptr;
     std::vector<double> usual_;  // us; usual latency of each class
-    std::map<ServerId, Server> servers_;
-    std::map<ServerId, Server*> busy_;  // those with attempts out: the rest is not looked at every tick
-    std::map<int, Group> groups_;
+    std::map<EndpointId, Endpoint> endpoints_;
+    std::map<EndpointId, Endpoint*> busy_;  // those with attempts out: the rest is not looked at every tick
+    std::map<int, ReplicaGroup> groups_;
     ZoneHealth zones_;
-    Calls calls_;
-    Comeback comeback_;
+    PollBackoff poll_backoff_;
+    StartupPhase startup_phase_;
     std::unordered_map<RequestId, Request> requests_;
     std::map<std::pair<int, SessionId>, Time> marks_;
     using Deadline = std::pair<Time, RequestId>;
@@ -967,7 +1003,7 @@
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
-std::size_t Router::avoided() const { return impl_->avoided(); }
+std::size_t Router::ejected_endpoint_count() const { return impl_->ejected_endpoint_count(); }
 void Router::step(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
     impl_->step(now, events, actions);
 }
--- a/src/decision/startup_phase.h
+++ b/src/decision/startup_phase.h
@@ -18,33 +18,33 @@
 
 namespace sloestack::decision {
 
-class Comeback {
+class StartupPhase {
 public:
     enum class State { cold, learning, serving };
 
     // Of the settings: whether members check reads, and whether they can be asked.
-    explicit Comeback(const Settings& settings);
+    explicit StartupPhase(const Settings& settings);
 
     // ---- evidence ----
-    void list_told();       // a list, whole or changes, that discovery has told since the start
-    void asked(int group);  // a client's request has come for it
-    void heard(int group);  // a member of it has said itself whether it is a primary or a replica
+    void on_list_received();           // a list, whole or changes, that discovery has told since the start
+    void on_request(int group);        // a client's request has come for it
+    void on_role_reported(int group);  // a member of it has said itself whether it is a primary or a replica
     State state() const { return state_; }
     // Told once for each state that is reached: a line for the log; `since_start` in us, at least 0.
-    std::optional<std::string> moved(Micros since_start);
+    std::optional<std::string> take_transition(Micros since_start);
 
     // ---- what is believed ----
     // Whether a member counts as its group's primary for reads because a list says so, before it has said so
     // itself. The list may be that of before the start, as old as can be: only where members turn away what
     // they are too far behind for, or where nobody can be asked.
-    bool believes_listed() const { return believes_listed_; }
+    bool trusts_listed_primary() const { return trusts_listed_primary_; }
 
-    static constexpr double kHeardShare = 0.9;  // of the groups asked for: one may be out of reach
+    static constexpr double kConfirmedGroupRatio = 0.9;  // of the groups asked for: one may be out of reach
 
 private:
     void judge();
 
-    bool believes_listed_, told_of_ = true;
+    bool trusts_listed_primary_, told_of_ = true;
     State state_ = State::cold;
     std::set<int> asked_, heard_;  // emptied once serving
 };
--- a/src/decision/zone_health.cpp
+++ b/src/decision/zone_health.cpp
@@ -16,19 +16,19 @@
 
 }  // namespace
 
-void ZoneHealth::Zone::add(ServerId server, double evidence) {
+void ZoneHealth::Zone::add(EndpointId server, double evidence) {
     if (lost == 0) first = server, several = false;
     several = several || server != first;
     lost += evidence;
 }
-bool ZoneHealth::answered(Time now, int zone) {
+bool ZoneHealth::on_answer(Time now, int zone) {
     auto& z = zones_[zone];
     const bool was_silent = z.silent_since >= 0;
     z = Zone{};
     z.answered_at = now;
     return was_silent;
 }
-void ZoneHealth::unanswered(Time now, int zone, ServerId server, double waited_us, double expected_us) {
+void ZoneHealth::on_timeout(Time now, int zone, EndpointId server, double waited_us, double expected_us) {
     auto& z = zones_[zone];
     z.lost *= std::exp(-static_cast<double>(now - z.lost_at) / kAges);
     z.lost_at = now;
@@ -36,15 +36,15 @@
 }
 // One member may be hung: only where several wait in vain is it the zone. One that answers slowly is never
 // silent.
-std::vector<int> ZoneHealth::judge(Time now, const std::vector<Waiting>& out) {
+std::vector<int> ZoneHealth::find_newly_silent(Time now, const std::vector<PendingAttempt>& out) {
     // Nobody waits: nothing has been long enough. Every tick of every router comes through here.
     if (out.empty()) return {};
     auto seen = zones_;
     std::map<int, bool> long_enough;
     for (const auto& w : out) {
         auto& z = seen[w.zone];
-        const auto waited = static_cast<double>(now - std::max(w.since, z.answered_at));
-        z.add(w.server, waited / w.expected_us);
+        const auto waited = static_cast<double>(now - std::max(w.sent_at, z.answered_at));
+        z.add(w.endpoint, waited / w.expected_us);
         if (waited > std::max<double>(kMinSilence, kLongest * w.expected_us)) long_enough[w.zone] = true;
     }
     std::vector<int> fallen;
@@ -60,11 +60,11 @@
     }
     return fallen;
 }
-bool ZoneHealth::silent(int zone) const {
+bool ZoneHealth::is_silent(int zone) const {
     const auto z = zones_.find(zone);
     return z != zones_.end() && z->second.silent_since >= 0;
 }
-std::vector<int> ZoneHealth::trials(Time now, int routers, double draw) {
+std::vector<int> ZoneHealth::due_health_checks(Time now, int routers, double draw) {
     std::vector<int> due;
     const Micros every = std::max(kTrialLeast, routers * kTrialEvery);
     for (auto& [id, z] : zones_) {
--- a/src/downstream/sessions/session.cpp
+++ b/src/downstream/sessions/session.cpp
@@ -188,10 +188,10 @@
 // not be told apart from that: it and they are reads. Anything else, and what is wrong, waits for its turn.
 bool Session::next_overlaps() {
     if (large_ || skip_to_sync_ || queries_.size() >= kMostOpen || office_.account.over()) return false;
-    const auto overlaps = [this](int klass) {
-        return klass >= 0 && office_.class_overlaps[static_cast<std::size_t>(klass)];
+    const auto overlaps = [this](int request_class) {
+        return request_class >= 0 && office_.class_overlaps[static_cast<std::size_t>(request_class)];
     };
-    if (!overlaps(queries_.back()->klass)) return false;  // then none before it is another
+    if (!overlaps(queries_.back()->request_class)) return false;  // then none before it is another
     try {
         const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), longest);
         if (!size || *size > kBehindRequest || connection_->held() < *size) return false;
@@ -346,12 +346,13 @@
     try {
         const auto tags = pgwire::read_tags(kept->text);
         const auto& names = office_.class_names;
-        const auto klass = std::find(names.begin(), names.end(), tags.klass);
-        if (klass == names.end())
-            return say_error(pgwire::code::kInvalidParameter, "unknown class " + std::string(tags.klass));
-        q->klass = static_cast<int>(klass - names.begin());
+        const auto request_class = std::find(names.begin(), names.end(), tags.request_class);
+        if (request_class == names.end())
+            return say_error(pgwire::code::kInvalidParameter,
+                             "unknown class " + std::string(tags.request_class));
+        q->request_class = static_cast<int>(request_class - names.begin());
         if (!office_.dispatcher.knows_group(tags.cluster)) {
-            office_.numbers.answered(q->klass, metrics::Numbers::shed);
+            office_.numbers.answered(q->request_class, metrics::Numbers::shed);
             Builder(out)
                 .error("ERROR", pgwire::code::kCannotConnectNow, "no member of this cluster is known",
                        milliseconds(kBusyAdvice))
@@ -359,24 +360,24 @@
             return reply(out);
         }
         kept->left_at = tags.left_at, kept->left_size = tags.left_size;
-        a.klass = q->klass;
-        a.group = tags.cluster;
+        a.request_class = q->request_class;
+        a.replica_group = tags.cluster;
         // Its client counts from when it has sent it, also what it waits for the answers before it. Where
         // nothing is left of that, members turn it away as over; it is told at once, and what comes behind
         // it goes on.
         const Time now = office_.deadlines.now();
-        a.not_after = asked_at_ + tags.left_ms * 1000;
-        if (a.not_after <= now) {
-            office_.numbers.given_up(q->klass, decision::Cause::out_of_time);
-            return refuse(q->klass, 0);
+        a.deadline = asked_at_ + tags.left_ms * 1000;
+        if (a.deadline <= now) {
+            office_.numbers.given_up(q->request_class, decision::RejectionReason::deadline_exceeded);
+            return refuse(q->request_class, 0);
         }
-        a.repeat = tags.repeat;
+        a.is_retry = tags.repeat;
         if (office_.sessions_named) a.session = hash(tags.quoted);
         if (tags.after_ms && *tags.after_ms > 0)
             a.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * 1000);
         // Two requests of one name cannot be told apart by a member that drops repeats.
         if (!office_.open_ids.emplace(tags.id).second) {
-            office_.numbers.answered(q->klass, metrics::Numbers::errors);
+            office_.numbers.answered(q->request_class, metrics::Numbers::errors);
             return say_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
         }
         q->id = tags.id;
@@ -394,8 +395,9 @@
 int Session::class_of(std::string_view statement) const {
     try {
         const auto& names = office_.class_names;
-        const auto klass = std::find(names.begin(), names.end(), pgwire::read_tags(statement).klass);
-        return klass == names.end() ? -1 : static_cast<int>(klass - names.begin());
+        const auto request_class =
+            std::find(names.begin(), names.end(), pgwire::read_tags(statement).request_class);
+        return request_class == names.end() ? -1 : static_cast<int>(request_class - names.begin());
     } catch (const pgwire::BadMessage&) {
         return -1;
     }
@@ -477,7 +479,7 @@
     if (queries_.empty() || passes_on() || state_ != State::open) return;
     auto& first = *queries_.front();
     withdraw(first);
-    office_.numbers.answered(first.klass, metrics::Numbers::errors);
+    office_.numbers.answered(first.request_class, metrics::Numbers::errors);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kQueryCanceled, "canceled at the client's request").ready();
     answered(first, std::move(out));
@@ -528,7 +530,7 @@
         auto bytes = take_kept(*q);
         if (q->request) {
             withdraw(*q);
-            office_.numbers.answered(q->klass, metrics::Numbers::errors);
+            office_.numbers.answered(q->request_class, metrics::Numbers::errors);
             bytes.clear();
             Builder(bytes).error("ERROR", pgwire::code::kAdminShutdown, "the proxy is stopping").ready();
         }
@@ -604,7 +606,7 @@
 }
 
 void Session::served(Query& query, const traffic::Value& value) {
-    office_.numbers.answered(query.klass, metrics::Numbers::ok);
+    office_.numbers.answered(query.request_class, metrics::Numbers::ok);
     std::string out;
     out.reserve(value.bytes.size() + 128);
     const auto row = value.null ? std::nullopt : std::optional<std::string_view>(value.bytes);
@@ -637,7 +639,7 @@
 }
 
 void Session::finished(Query& query, const std::string& tag) {
-    office_.numbers.answered(query.klass, metrics::Numbers::ok);
+    office_.numbers.answered(query.request_class, metrics::Numbers::ok);
     std::string out;
     Builder(out).complete(tag).ready();
     answered(query, std::move(out));
@@ -649,24 +651,24 @@
         take_kept(query);
         return failed(query);
     }
-    office_.numbers.answered(query.klass, metrics::Numbers::errors);
+    office_.numbers.answered(query.request_class, metrics::Numbers::errors);
     let_go(query);
     finish();
 }
 
 void Session::refused(Query& query, Micros retry_after) {
-    office_.numbers.answered(query.klass, metrics::Numbers::shed);
+    office_.numbers.answered(query.request_class, metrics::Numbers::shed);
     answered(query, refusal(retry_after));
 }
 
-void Session::refuse(int klass, Micros retry_after) {
-    office_.numbers.answered(klass, metrics::Numbers::shed);
+void Session::refuse(int request_class, Micros retry_after) {
+    office_.numbers.answered(request_class, metrics::Numbers::shed);
     reply(refusal(retry_after));
-    if (!queries_.empty()) queries_.back()->klass = klass;
+    if (!queries_.empty()) queries_.back()->request_class = request_class;
 }
 
 void Session::failed(Query& query) {
-    office_.numbers.answered(query.klass, metrics::Numbers::errors);
+    office_.numbers.answered(query.request_class, metrics::Numbers::errors);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kSystemError, "no member has answered in time").ready();
     answered(query, std::move(out));
--- a/src/downstream/sessions/session.h
+++ b/src/downstream/sessions/session.h
@@ -120,7 +120,7 @@
 
         Session& session;
         traffic::RequestId request = 0;  // 0 once it is answered
-        int klass = -1;
+        int request_class = -1;
         std::string id;                     // the client's name for it
         std::string kept;                   // the answer, or its head, that waits for those before
         traffic::Source* source = nullptr;  // of an answer that is passed on in pieces
@@ -160,7 +160,7 @@
     void finished(Query& query, const std::string& tag);
     void cut_off(Query& query);
     void refused(Query& query, Micros retry_after);
-    void refuse(int klass, Micros retry_after);  // what was never handed in
+    void refuse(int request_class, Micros retry_after);  // what was never handed in
     void failed(Query& query);
     bool has_left();
 
--- a/src/fleet/discovery/list.cpp
+++ b/src/fleet/discovery/list.cpp
@@ -7,31 +7,31 @@
 namespace sloestack::discovery {
 namespace {
 
-using decision::ServerId;
-using decision::ServerState;
+using decision::EndpointId;
+using decision::EndpointState;
 
-ServerId first_choice(const std::string& name) {
+EndpointId first_choice(const std::string& name) {
     // Names end in eight hexadecimal digits where they are made by machine.
     if (name.size() >= 8) {
         const auto tail = name.substr(name.size() - 8);
         if (tail.find_first_not_of("0123456789abcdef") == std::string::npos)
-            return static_cast<ServerId>(std::stoul(tail, nullptr, 16));
+            return static_cast<EndpointId>(std::stoul(tail, nullptr, 16));
     }
     std::uint32_t hash = 2166136261u;  // FNV-1a
     for (const unsigned char c : name) hash = (hash ^ c) * 16777619u;
     return hash;
 }
 
-ServerState state_of(const std::string& phase) {
-    if (phase == "in_service") return ServerState::ready;
-    if (phase == "terminating") return ServerState::draining;
-    if (phase == "terminated") return ServerState::gone;
+EndpointState state_of(const std::string& phase) {
+    if (phase == "in_service") return EndpointState::ready;
+    if (phase == "terminating") return EndpointState::draining;
+    if (phase == "terminated") return EndpointState::removed;
     throw std::runtime_error("unknown phase " + phase);
 }
 
 }  // namespace
 
-ServerId Numbers::of(const std::string& name) {
+EndpointId Numbers::of(const std::string& name) {
     if (const auto known = by_name_.find(name); known != by_name_.end()) {
         if (const auto at = std::exchange(known->second.gone_at, 0)) gone_.erase(at);
         return known->second.number;
@@ -57,15 +57,15 @@
 traffic::Entry Reader::entry(const nlohmann::json& json) {
     traffic::Entry out;
     out.name = json.at("id").get<std::string>();
-    out.server.server = numbers_.of(out.name);
-    out.server.state = state_of(json.at("phase").get<std::string>());
+    out.endpoint.endpoint = numbers_.of(out.name);
+    out.endpoint.state = state_of(json.at("phase").get<std::string>());
     out.address = json.value("host_port", "");
-    out.server.group = json.value("cell", 0);
-    out.server.size = json.value("size", 1.0);
-    out.server.started_at = json.value("up_since_ms", std::int64_t{0}) * 1000;
-    out.server.listed_primary = json.value("role", "") == "primary";
+    out.endpoint.replica_group = json.value("cell", 0);
+    out.endpoint.size = json.value("size", 1.0);
+    out.endpoint.started_at = json.value("up_since_ms", std::int64_t{0}) * 1000;
+    out.endpoint.listed_primary = json.value("role", "") == "primary";
     const auto zone = std::find(zones_.begin(), zones_.end(), json.value("locality", ""));
-    out.server.zone = zone == zones_.end() ? -1 : static_cast<int>(zone - zones_.begin());
+    out.endpoint.zone = zone == zones_.end() ? -1 : static_cast<int>(zone - zones_.begin());
     return out;
 }
 
@@ -73,7 +73,7 @@
     std::set<std::string> named;
     for (const auto& member : members) {
         const auto& name = member.at("id").get_ref<const std::string&>();
-        if (state_of(member.at("phase").get<std::string>()) != ServerState::gone)
+        if (state_of(member.at("phase").get<std::string>()) != EndpointState::removed)
             named.insert(name);
         else
             listed_.erase(name), numbers_.gone(name);
@@ -90,10 +90,10 @@
     if (list.complete && !older) draining_.clear();
     for (auto& e : list.members) {
         const auto known = draining_.find(e.name);
-        if (older && known != draining_.end() && known->second == e.server.started_at)
-            e.server.state = ServerState::draining;
-        if (e.server.state == ServerState::draining)
-            draining_[e.name] = e.server.started_at;
+        if (older && known != draining_.end() && known->second == e.endpoint.started_at)
+            e.endpoint.state = EndpointState::draining;
+        if (e.endpoint.state == EndpointState::draining)
+            draining_[e.name] = e.endpoint.started_at;
         else
             draining_.erase(e.name);
     }
--- a/src/fleet/discovery/list.h
+++ b/src/fleet/discovery/list.h
@@ -25,7 +25,7 @@
 // member.
 class Numbers {
 public:
-    decision::ServerId of(const std::string& name);
+    decision::EndpointId of(const std::string& name);
     // The name is listed no more. Guards against growth where members are replaced for good: of such names
     // only the last `kMostGone` keep their numbers.
     void gone(const std::string& name);
@@ -36,11 +36,11 @@
 
 private:
     struct Known {
-        decision::ServerId number;
+        decision::EndpointId number;
         std::uint64_t gone_at = 0;  // 0: listed
     };
     std::map<std::string, Known> by_name_;
-    std::map<decision::ServerId, std::string> by_number_;
+    std::map<decision::EndpointId, std::string> by_number_;
     std::map<std::uint64_t, std::string> gone_;  // in the order they went
     std::uint64_t went_ = 0;
 };
--- a/src/fleet/discovery/watch.cpp
+++ b/src/fleet/discovery/watch.cpp
@@ -14,7 +14,7 @@
 
 Watch::Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
              std::optional<std::int64_t> revision, traffic::ListReader& reader,
-             const decision::CallTimes& times)
+             const decision::PollTimeouts& times)
     : loop_(loop),
       deadlines_(deadlines),
       at_(at),
@@ -38,7 +38,7 @@
     response_.reset();
     connection_.reset();
     patience_.clear();
-    times_.moved();
+    times_.on_address_change();
     running_ = false;
     start();
 }
@@ -50,7 +50,7 @@
     reused_ = connection_ != nullptr;
     if (connection_) return write_call();
     up_ = false;
-    const auto connected_by = begun_at_ + std::min(next_.give_up, decision::Calls::kPatience);
+    const auto connected_by = begun_at_ + std::min(next_.timeout_us, decision::PollBackoff::kPollTimeout);
     patience_.set(deadlines_, connected_by, [this] { failed("cannot connect in time"); });
     connection_ = net::Connection::open(loop_, at_, kMostUnread, *this);
     if (!connection_) failed("no socket");
@@ -65,10 +65,10 @@
 void Watch::write_call() {
     std::string call = "GET /registry/instances";
     if (revision_) {
-        const Micros hold = std::max(kLeastHold, next_.hold - (deadlines_.now() - begun_at_));
+        const Micros hold = std::max(kLeastHold, next_.hold_us - (deadlines_.now() - begun_at_));
         call += "?after=" + std::to_string(*revision_) + "&wait_ms=" + std::to_string(hold / 1000);
     }
-    patience_.set(deadlines_, begun_at_ + next_.give_up, [this] { silent(); });
+    patience_.set(deadlines_, begun_at_ + next_.timeout_us, [this] { silent(); });
     connection_->write(call + " HTTP/1.1\r\nHost: " + host_ + "\r\nAccept: application/json\r\n\r\n");
 }
 
@@ -76,22 +76,22 @@
     if (!response_) return failed("an answer to no call");
     try {
         connection_->consume(response_->feed(connection_->unread()));
-        if (response_->done()) answered();
+        if (response_->done()) on_list();
     } catch (const std::runtime_error& error) {
         failed(error.what());
     }
 }
 
-void Watch::answered() {
+void Watch::on_list() {
     const auto response = std::move(*response_);
     response_.reset();
     if (response.status() != 200) return failed("status " + std::to_string(response.status()), true);
     auto list = lists_.read(response.body(), revision_);
-    times_.answered(is_held());
+    times_.on_list(is_held());
     revision_ = list.revision;
     called_ = true;
     if (!response.keeps_open()) connection_.reset();
-    reader_.listed(list.complete ? decision::ListKind::complete : decision::ListKind::changes,
+    reader_.listed(list.complete ? decision::EndpointListKind::complete : decision::EndpointListKind::changes,
                    std::move(list.members));
     call();  // at once: later than 200 ms after the answer it would be a new watch
 }
@@ -104,7 +104,7 @@
     if (how == net::Ending::end_of_input) response_->end_of_input();
     if (!response_->done()) return failed(up_ ? "the connection broke" : "cannot connect");
     try {
-        answered();
+        on_list();
     } catch (const std::runtime_error& error) {
         failed(error.what());
     }
@@ -114,8 +114,8 @@
 // a failed call's wait. Harm: none that adds up, since each proxy's were held for a time of their own.
 void Watch::silent() {
     if (!is_held()) return failed("no answer in time");
-    log::line("discovery silent", "the watch is opened anew");
-    times_.unanswered(true);
+    log::line("discovery silent", "watch reopened");
+    times_.on_silence(true);
     response_.reset();
     connection_.reset();
     call();
@@ -123,7 +123,7 @@
 
 void Watch::failed(const std::string& why, bool refused) {
     log::line("discovery failed", why);
-    refused ? times_.refused(is_held()) : times_.unanswered(is_held());
+    refused ? times_.on_rejection(is_held()) : times_.on_silence(is_held());
     running_ = false;
     called_ = true;
     response_.reset();
--- a/src/fleet/discovery/watch.h
+++ b/src/fleet/discovery/watch.h
@@ -17,7 +17,7 @@
 public:
     Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
           std::optional<std::int64_t> revision, traffic::ListReader& reader,
-          const decision::CallTimes& times);
+          const decision::PollTimeouts& times);
 
     // Starts the loop where it does not run. A failure ends it and is told to the reader, who decides when to
     // ask again.
@@ -35,8 +35,8 @@
 private:
     void call();
     void write_call();
-    bool is_held() const { return revision_ && next_.hold > 0; }
-    void answered();
+    bool is_held() const { return revision_ && next_.hold_us > 0; }
+    void on_list();
     void silent();
     // `refused`: an answer that is no list has come, so discovery is there.
     void failed(const std::string& why, bool refused = false);
@@ -50,8 +50,8 @@
     traffic::ListReader& reader_;
     std::unique_ptr<net::Connection> connection_;
     std::optional<http::ResponseParser> response_;  // there while a call is out
-    decision::CallTimes times_;
-    decision::CallTimes::Next next_ = {};  // the call that is out, or the last one
+    decision::PollTimeouts times_;
+    decision::PollTimeouts::Next next_ = {};  // the call that is out, or the last one
     Deadline patience_;
     Time begun_at_ = 0;  // the call, its connection included
     bool running_ = false, up_ = false, called_ = false;
--- a/src/fleet/exclusions/exclusions.cpp
+++ b/src/fleet/exclusions/exclusions.cpp
@@ -5,13 +5,13 @@
 
 namespace sloestack::exclusions {
 
-using decision::ListKind;
-using decision::ServerState;
+using decision::EndpointListKind;
+using decision::EndpointState;
 
-void Bans::listed(ListKind kind, std::vector<traffic::Entry> entries) {
-    if (kind == ListKind::complete || kind == ListKind::cached) present_.clear();
+void Bans::listed(EndpointListKind kind, std::vector<traffic::Entry> entries) {
+    if (kind == EndpointListKind::complete || kind == EndpointListKind::cached) present_.clear();
     for (auto& e : entries) {
-        if (e.server.state == ServerState::gone)
+        if (e.endpoint.state == EndpointState::removed)
             present_.erase(e.name);
         else
             present_[e.name] = e;
@@ -21,14 +21,14 @@
 }
 
 traffic::Entry Bans::laid_over(traffic::Entry entry) const {
-    if (entry.server.state == ServerState::ready && is_banned(entry.name))
-        entry.server.state = ServerState::draining;
+    if (entry.endpoint.state == EndpointState::ready && is_banned(entry.name))
+        entry.endpoint.state = EndpointState::draining;
     return entry;
 }
 
 void Bans::pass_on(const std::string& name) {
     const auto present = present_.find(name);
-    if (present != present_.end()) next_.listed(ListKind::changes, {laid_over(present->second)});
+    if (present != present_.end()) next_.listed(EndpointListKind::changes, {laid_over(present->second)});
 }
 
 void Bans::ban(const std::string& name) {
--- a/src/fleet/exclusions/exclusions.h
+++ b/src/fleet/exclusions/exclusions.h
@@ -15,8 +15,8 @@
 public:
     explicit Bans(traffic::ListReader& next) : next_(next) {}
 
-    void listed(decision::ListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const decision::FailedCall& call) override { next_.call_failed(call); }
+    void listed(decision::EndpointListKind kind, std::vector<traffic::Entry> entries) override;
+    void call_failed(const decision::FailedPoll& call) override { next_.call_failed(call); }
     void ban(const std::string& name);
     // One call back ends the ban; what discovery says now, a restart included, is passed on with it.
     void lift(const std::string& name);
--- a/src/record/conversation/conversation.h
+++ b/src/record/conversation/conversation.h
@@ -33,10 +33,11 @@
 };
 struct Asked {
     ConnectionId connection = 0;
-    std::uint32_t number = 0;         // on its connection, from 0
-    Time at = 0;                      // of its last byte
-    std::string_view id, klass, key;  // empty where it has none: a liveness check has neither id nor class
-    Micros left = 0;                  // how long the client waits for the answer
+    std::uint32_t number = 0;  // on its connection, from 0
+    Time at = 0;               // of its last byte
+    std::string_view id, request_class,
+        key;          // empty where it has none: a liveness check has neither id nor class
+    Micros left = 0;  // how long the client waits for the answer
     int group = 0;
     bool repeat = false;  // the client says that it has asked before
     bool ahead = false;   // sent before the answer to the one before it had come
--- a/src/record/conversation/reading.cpp
+++ b/src/record/conversation/reading.cpp
@@ -89,7 +89,7 @@
 void read_comment(std::string_view statement, Asked& out) {
     try {
         const auto tags = pgwire::read_tags(statement);
-        out.id = tags.id, out.klass = tags.klass, out.key = tags.key;
+        out.id = tags.id, out.request_class = tags.request_class, out.key = tags.key;
         out.left = tags.left_ms * 1000;
         out.group = tags.cluster;
         out.repeat = tags.repeat;
--- a/src/record/conversation/recording.cpp
+++ b/src/record/conversation/recording.cpp
@@ -95,11 +95,12 @@
 
 void Recording::asked(const Asked& a) {
     ++figures_.requests;
-    const auto klass = a.klass.empty() ? std::string_view("(none)") : a.klass;
-    if (const auto known = figures_.requests_by_class.find(klass); known != figures_.requests_by_class.end())
+    const auto request_class = a.request_class.empty() ? std::string_view("(none)") : a.request_class;
+    if (const auto known = figures_.requests_by_class.find(request_class);
+        known != figures_.requests_by_class.end())
         ++known->second;
     else
-        figures_.requests_by_class.emplace(klass, 1);
+        figures_.requests_by_class.emplace(request_class, 1);
     const auto hash = a.id.empty() ? 0 : digest_of(a.id).low;
     if (hash && ++open_ids_[hash] > 1) ++figures_.doubled_ids;
     last_->ids.push_back(hash);
--- a/src/record/replay/replay.cpp
+++ b/src/record/replay/replay.cpp
@@ -115,7 +115,7 @@
             sent_.push_back(ticket);
             if (!request.resent) {
                 ++of_.report_.sent;
-                ++of_.report_.classes[request.klass].sent;
+                ++of_.report_.classes[request.request_class].sent;
                 if (of_.settings_.checker) of_.settings_.checker(request, nullptr);
             }
             write(request.bytes);
@@ -279,7 +279,7 @@
     request.connection = a.connection;
     request.number = a.number;
     request.round = schedule_.round();
-    request.klass = a.klass.empty() ? "(none)" : std::string(a.klass);
+    request.request_class = a.request_class.empty() ? "(none)" : std::string(a.request_class);
     request.key = a.key;
     request.left = a.left;
     if (request.round > 0 && !a.id.empty()) {
@@ -377,14 +377,14 @@
                                                    : Fate::answered;
     ++report_.answers[conversation::to_text(answer.kind)];
     if (settings_.checker) settings_.checker(request, &answer);
-    auto& klass = report_.classes[request.klass];
+    auto& request_class = report_.classes[request.request_class];
     if (answer.kind == Kind::served || answer.kind == Kind::empty) {
-        ++klass.served;
-        klass.latency_us.add(answer.at - request.sent_at);
+        ++request_class.served;
+        request_class.latency_us.add(answer.at - request.sent_at);
     }
-    if (answer.kind == Kind::refused) ++klass.refused;
-    if (answer.kind == Kind::failed) ++klass.failed;
-    if (answer.kind == Kind::none) ++klass.none;
+    if (answer.kind == Kind::refused) ++request_class.refused;
+    if (answer.kind == Kind::failed) ++request_class.failed;
+    if (answer.kind == Kind::none) ++request_class.none;
     request.live = std::move(answer);
     request.bytes = {};
     schedule_.ended(ticket, fate, deadlines_.now());
@@ -407,7 +407,7 @@
             if (verdict.cause == conversation::Cause::none) ++report_.unexplained;
             if (report_.named.size() < settings_.most_named)
                 report_.named.push_back(
-                    {r.connection, r.number, r.round, r.id, r.klass, verdict.what, verdict.cause});
+                    {r.connection, r.number, r.round, r.id, r.request_class, verdict.what, verdict.cause});
         }
     }
     requests_.erase(found);
--- a/src/record/replay/replay.h
+++ b/src/record/replay/replay.h
@@ -24,7 +24,7 @@
     std::uint64_t connection = 0;
     std::uint32_t number = 0;
     int round = 0;
-    std::string id, klass, key, bytes;
+    std::string id, request_class, key, bytes;
     bool resent = false;
     Micros left = 0;
     Time due = 0, sent_at = 0;
@@ -48,7 +48,7 @@
     std::uint64_t connection = 0;  // of the file, in the order in which its streams begin
     std::uint32_t number = 0;
     int round = 0;
-    std::string id, klass, what;
+    std::string id, request_class, what;
     conversation::Cause cause = conversation::Cause::none;
 };
 
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -23,13 +23,13 @@
 void Reply::action(const Action& action) {
     struct Writer {
         Reply& r;
-        void operator()(const Send& a) const {
+        void operator()(const Forward& a) const {
             r.begin(1000, 16);
             r.put(a.request);
-            r.put(a.server);
+            r.put(a.endpoint);
             r.put(wire_micros(a.timeout_us));
         }
-        void operator()(const Refuse& a) const {
+        void operator()(const Reject& a) const {
             r.begin(1010, 12);
             r.put(a.request);
             r.put(wire_micros(a.retry_after_us));
@@ -48,11 +48,11 @@
             r.put(wire_micros(a.delay_us));
             r.put(a.token);
         }
-        void operator()(const Probe& a) const {
+        void operator()(const StartHealthCheck& a) const {
             r.begin(1050, 4);
-            r.put(a.server);
+            r.put(a.endpoint);
         }
-        void operator()(const WatchList&) const {
+        void operator()(const PollDiscovery&) const {
             r.begin(1100, 1);
             r.put(std::uint8_t{1});
         }
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -12,11 +12,11 @@
         case 0:
             return Outcome::ok;
         case 2:
-            return Outcome::miss;
+            return Outcome::not_eligible;
         case 5:
             return Outcome::error;
         case 11:
-            return Outcome::full;
+            return Outcome::overloaded;
         case 104:
             return Outcome::reset;
         case 110:
@@ -24,7 +24,7 @@
         case 111:
             return Outcome::connect_failed;
         case 114:
-            return Outcome::moot;
+            return Outcome::expired;
         case 125:
             return Outcome::cancelled;
         default:
@@ -32,57 +32,59 @@
     }
 }
 
-Standing standing_of(std::uint32_t note, Time base) {
-    Standing out;
+ReplicationStatus standing_of(std::uint32_t note, Time base) {
+    ReplicationStatus out;
     const auto role = note & 3u;
     out.role = role == 1 ? Role::primary : role == 2 ? Role::replica : Role::unknown;
     if (note >> 2) out.position = base + static_cast<Time>(note >> 2) * 1000;
     return out;
 }
 
-ServerEntry read_entry(Fields& in) {
-    ServerEntry out;
+EndpointEntry read_entry(Fields& in) {
+    EndpointEntry out;
     out.size = in.real();
-    out.group = in.uint<std::uint16_t>();
+    out.replica_group = in.uint<std::uint16_t>();
     in.uint<std::uint16_t>();  // machine kind: the router does not use it
-    out.server = in.uint<std::uint32_t>();
+    out.endpoint = in.uint<std::uint32_t>();
     out.zone = in.uint<std::uint16_t>();
     out.listed_primary = in.real() == 1.0f;
     out.started_at = static_cast<Time>(in.uint<std::uint64_t>());
     const auto state = in.uint<std::uint8_t>();
-    out.state = state == 2 ? ServerState::ready : state == 1 ? ServerState::draining : ServerState::gone;
+    out.state = state == 2   ? EndpointState::ready
+                : state == 1 ? EndpointState::draining
+                             : EndpointState::removed;
     return out;
 }
 
 Arrival read_arrival(Fields& in) {
     Arrival out;
     out.request = in.uint<std::uint64_t>();
-    out.klass = in.uint<std::uint8_t>();
+    out.request_class = in.uint<std::uint8_t>();
     out.tenant = static_cast<int>(in.uint<std::uint32_t>());
     out.session = in.uint<std::uint64_t>();
-    out.not_after = static_cast<Time>(in.uint<std::uint64_t>());
+    out.deadline = static_cast<Time>(in.uint<std::uint64_t>());
     const auto work = in.uint<std::uint32_t>();
     const float group = in.real();
-    out.group = std::isfinite(group) ? static_cast<int>(group) : -1;
+    out.replica_group = std::isfinite(group) ? static_cast<int>(group) : -1;
     const float age_ms = in.real();
     const auto bits = in.uint<std::uint16_t>();
     if (bits & 1u) out.work_hint_us = work;
     if (std::isfinite(age_ms) && age_ms > 0)
         out.last_write_age_us = static_cast<Micros>(std::llround(age_ms * 1000.0));
-    out.repeat = (bits & 2u) != 0;
+    out.is_retry = (bits & 2u) != 0;
     return out;
 }
 
-std::optional<ListKind> list_kind(std::uint8_t kind) {
+std::optional<EndpointListKind> list_kind(std::uint8_t kind) {
     switch (kind) {
         case 0:
-            return ListKind::cached;
+            return EndpointListKind::cached;
         case 1:
-            return ListKind::changes;
+            return EndpointListKind::changes;
         case 2:
-            return ListKind::failed;
+            return EndpointListKind::failed;
         case 3:
-            return ListKind::complete;
+            return EndpointListKind::complete;
         default:
             return std::nullopt;
     }
@@ -98,8 +100,8 @@
     return instance;
 }
 
-Standing Host::read_report(Fields& in, const InstanceSettings& settings) const {
-    Standing out;
+ReplicationStatus Host::read_report(Fields& in, const InstanceSettings& settings) const {
+    ReplicationStatus out;
     const auto count = in.uint<std::uint8_t>();
     for (std::size_t i = 0; i < count; ++i) {
         const double value = in.real();
@@ -117,7 +119,7 @@
     const auto count = in.uint<std::uint32_t>();
     if (static_cast<std::uint64_t>(count) * 27 > in.left())
         throw BadFrame(in.offset(), "list entries run past their record");
-    auto entries = std::make_shared<std::vector<ServerEntry>>();
+    auto entries = std::make_shared<std::vector<EndpointEntry>>();
     entries->reserve(count);
     for (std::uint32_t i = 0; i < count; ++i) entries->push_back(read_entry(in));
     lists_[number] = std::move(entries);
@@ -160,7 +162,7 @@
             const auto number = in.uint<std::uint8_t>();
             if (kind)
                 touch().events.emplace_back(
-                    ServerList{*kind, *kind == ListKind::failed ? nullptr : lists_[number]});
+                    EndpointList{*kind, *kind == EndpointListKind::failed ? nullptr : lists_[number]});
             return;
         }
         case 1070:
@@ -171,12 +173,12 @@
             AttemptEnded e;
             e.request = in.uint<std::uint64_t>();
             e.attempt = in.uint<std::uint8_t>();
-            e.server = in.uint<std::uint32_t>();
+            e.endpoint = in.uint<std::uint32_t>();
             const auto outcome = outcome_of(in.uint<std::uint16_t>());
             e.latency_us = in.uint<std::uint32_t>();
             e.request_ended = in.uint<std::uint8_t>() != 0;
-            e.standing = standing_of(in.uint<std::uint32_t>(), instance.settings.position_base);
-            e.reported = read_report(in, instance.settings);
+            e.status = standing_of(in.uint<std::uint32_t>(), instance.settings.position_base);
+            e.reported_status = read_report(in, instance.settings);
             e.outcome = outcome.value_or(Outcome::error);
             instance.events.emplace_back(e);
             return;
@@ -185,24 +187,24 @@
             AnswerStarted e;
             e.request = in.uint<std::uint64_t>();
             e.attempt = in.uint<std::uint8_t>();
-            e.server = in.uint<std::uint32_t>();
+            e.endpoint = in.uint<std::uint32_t>();
             e.latency_us = in.uint<std::uint32_t>();
             touch().events.emplace_back(e);
             return;
         }
         case 1020:
-            touch().events.emplace_back(ClientGone{in.uint<std::uint64_t>()});
+            touch().events.emplace_back(ClientDisconnected{in.uint<std::uint64_t>()});
             return;
         case 1010:
             touch().events.emplace_back(TimerFired{in.uint<std::uint32_t>()});
             return;
         case 1050: {
             auto& instance = touch();
-            ProbeEnded e;
+            HealthCheckEnded e;
             e.latency_us = in.uint<std::uint32_t>();
             e.outcome = outcome_of(in.uint<std::uint16_t>()).value_or(Outcome::error);
-            e.server = in.uint<std::uint32_t>();
-            e.reported = read_report(in, instance.settings);
+            e.endpoint = in.uint<std::uint32_t>();
+            e.reported_status = read_report(in, instance.settings);
             instance.events.emplace_back(e);
             return;
         }
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -29,14 +29,14 @@
         std::string fault;
         bool touched = false;
     };
-    using Entries = std::shared_ptr<const std::vector<sloestack::decision::ServerEntry>>;
+    using Entries = std::shared_ptr<const std::vector<sloestack::decision::EndpointEntry>>;
 
     void record(std::uint16_t code, Fields in);
     void start(Fields in);
     void read_catalog(Fields in);
     void answer(sloestack::decision::Time now);
     Instance& touch();
-    sloestack::decision::Standing read_report(Fields& in, const InstanceSettings& settings) const;
+    sloestack::decision::ReplicationStatus read_report(Fields& in, const InstanceSettings& settings) const;
 
     std::map<std::uint16_t, Instance> instances_;
     std::array<Entries, 256> lists_;
--- a/src/state/hot_restart/hot_restart.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -15,8 +15,8 @@
 
 using nlohmann::json;
 
-constexpr Micros kPatience = 2'500'000;  // for a predecessor's welcome; the platform waits 6 s for a yes
-constexpr Micros kFitting = 1'000'000;   // for the requests that hold what is over the share
+constexpr Micros kPollTimeout = 2'500'000;  // for a predecessor's welcome; the platform waits 6 s for a yes
+constexpr Micros kFitting = 1'000'000;      // for the requests that hold what is over the share
 constexpr Micros kLook = 10'000;
 constexpr Micros kHeldBy = 300'000;  // for the other process to say that a call holds
 constexpr std::size_t kMostUnread = 1024 * 1024;
@@ -92,8 +92,8 @@
     ties_.push_back(std::move(tie));
     count();
     // One that hangs must not keep the new process from serving.
-    patience_.set(deadlines_, deadlines_.now() + kPatience, [this] {
-        log::line("predecessor", "no welcome in time");
+    patience_.set(deadlines_, deadlines_.now() + kPollTimeout, [this] {
+        log::line("predecessor", "handshake timed out");
         begin();
     });
 }
@@ -110,12 +110,12 @@
 void Succession::listen() {
     sockaddr_un at;
     if (!address_of(path_, at))
-        return log::line("no successor can be found", "the path is too long: " + path_);
+        return log::line("hot restart socket unavailable", "the path is too long: " + path_);
     const auto fd = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     unlink(path_.c_str());
     if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
         ::listen(fd, kBacklog) != 0) {
-        log::line("no successor can be found", std::strerror(errno));
+        log::line("hot restart socket unavailable", std::strerror(errno));
         if (fd >= 0) evutil_closesocket(fd);
         return;
     }
@@ -145,14 +145,14 @@
     const auto number = message.is_object() ? message.value("number", json()) : json();
     const auto member = message.is_object() ? message.value("member", json()) : json();
     if (what == "hello" && tie.to_successor()) {
-        log::line("successor", "has come");
+        log::line("successor", "connected");
         tie.asked_at = deadlines_.now();
         count();
         for (const auto& name : estate_.banned())
             tie.say({{"do", "exclude"}, {"member", name}, {"number", 0}});
         welcome(tie);
     } else if (what == "welcome") {
-        log::line("predecessor", "has handed over");
+        log::line("predecessor", "handover complete");
         begin();
     } else if ((what == "exclude" || what == "include") && member.is_string() &&
                number.is_number_unsigned()) {
@@ -180,7 +180,7 @@
     loop_.delete_later(std::move(*found));  // it may be on the call stack
     ties_.erase(found);
     tie.close();
-    log::line(tie.to_successor() ? "successor" : "predecessor", "has gone");
+    log::line(tie.to_successor() ? "successor" : "predecessor", "disconnected");
     for (auto it = told_.begin(); it != told_.end();) held_by(tie, (it++)->first);
     count();
     if (!tie.to_successor()) begin();  // it may have died before its welcome
--- a/src/upstream/connection_pool/answer.cpp
+++ b/src/upstream/connection_pool/answer.cpp
@@ -5,8 +5,8 @@
 
 namespace sloestack::upstream {
 
+using decision::ReplicationStatus;
 using decision::Role;
-using decision::Standing;
 
 std::optional<double> number(std::string_view text) {
     double out = 0;
@@ -21,8 +21,8 @@
     return static_cast<decision::Time>(std::llround(value * unit_us));
 }
 
-Standing read_load(std::string_view text) {
-    Standing out;
+ReplicationStatus read_load(std::string_view text) {
+    ReplicationStatus out;
     while (!text.empty()) {
         const auto comma = text.find(',');
         const auto pair = text.substr(0, comma);
--- a/src/upstream/connection_pool/answer.h
+++ b/src/upstream/connection_pool/answer.h
@@ -13,14 +13,14 @@
 struct Answer {
     // How the query ended, as far as told: nothing before its end or an error.
     std::optional<decision::Outcome> outcome;
-    decision::Standing standing;  // of the answer itself
-    decision::Standing reported;  // of a load report that came with it
+    decision::ReplicationStatus status;           // of the answer itself
+    decision::ReplicationStatus reported_status;  // of a load report that came with it
     // The row; there where the outcome is ok.
     std::optional<traffic::Value> value;
 };
 
 // A load report: name=value pairs with commas between. One pair that cannot be read spoils all of it.
-decision::Standing read_load(std::string_view text);
+decision::ReplicationStatus read_load(std::string_view text);
 // Digits, a sign and a point; nothing where it is none or not finite.
 std::optional<double> number(std::string_view text);
 // A position told in units of so many microseconds; nothing where it cannot be one.
