--- a/src/upstream/connection_pool/pool.cpp
+++ b/src/upstream/connection_pool/pool.cpp
@@ -7,9 +7,9 @@
 namespace sloestack::upstream {
 namespace {
 
-using decision::ListKind;
+using decision::EndpointListKind;
+using decision::EndpointState;
 using decision::Outcome;
-using decision::ServerState;
 
 constexpr traffic::RequestId kProbes = 0;  // no request has this number
 constexpr Micros kProbeTimeout = 250'000;
@@ -23,7 +23,7 @@
 }  // namespace
 
 struct Pool::Member {
-    traffic::ServerId id = 0;
+    traffic::EndpointId id = 0;
     std::optional<sockaddr_in> address;
     bool leaving = false;  // the list says that it drains or is gone: nothing new goes there
     bool gone = false;
@@ -39,7 +39,7 @@
     Member* member = nullptr;
     Link* link = nullptr;  // while its query is out
     Time sent_at = 0;
-    bool on_kept = false;  // its link had answered before
+    bool on_reused_connection = false;  // its link had answered before
     Deadline connect_by, give_up_at;
     bool is_probe() const { return attempt.request == kProbes; }
 };
@@ -55,24 +55,24 @@
 Pool::~Pool() = default;
 
 // ---- the list ----
-void Pool::listed(ListKind kind, const std::vector<traffic::Entry>& entries) {
-    if (kind != ListKind::changes)
+void Pool::listed(EndpointListKind kind, const std::vector<traffic::Entry>& entries) {
+    if (kind != EndpointListKind::changes)
         for (auto& [id, member] : members_)
             if (std::none_of(entries.begin(), entries.end(),
-                             [id = id](const auto& e) { return e.server.server == id; }))
-                member->gone = true, member->leaving = !settings_.gone_is_advice;
+                             [id = id](const auto& e) { return e.endpoint.endpoint == id; }))
+                member->gone = true, member->leaving = !settings_.removal_is_advisory;
     for (const auto& e : entries) {
-        auto& slot = members_[e.server.server];
+        auto& slot = members_[e.endpoint.endpoint];
         if (!slot) slot = std::make_unique<Member>();
         auto& m = *slot;
-        m.id = e.server.server;
+        m.id = e.endpoint.endpoint;
         const auto address = net::parse_address(e.address);
         const bool moved = address && m.address &&
                            (address->sin_addr.s_addr != m.address->sin_addr.s_addr ||
                             address->sin_port != m.address->sin_port);
         if (address) m.address = address;
-        m.gone = e.server.state == ServerState::gone;
-        m.leaving = e.server.state == ServerState::draining || (m.gone && !settings_.gone_is_advice);
+        m.gone = e.endpoint.state == EndpointState::removed;
+        m.leaving = e.endpoint.state == EndpointState::draining || (m.gone && !settings_.removal_is_advisory);
         if (moved)
             while (!m.idle.empty()) drop(*m.idle.back());
         if (moved)
@@ -90,7 +90,7 @@
 void Pool::take_back(Member& member) {
     while (!member.idle.empty()) drop(*member.idle.back());
     const auto waiting = std::exchange(member.waiting, {});
-    for (auto* job : waiting) end(*job, Outcome::moot);
+    for (auto* job : waiting) end(*job, Outcome::expired);
 }
 
 // ---- attempts and probes ----
@@ -100,10 +100,10 @@
     enqueue(std::move(job));
 }
 
-void Pool::probe(traffic::ServerId server) {
+void Pool::probe(traffic::EndpointId server) {
     auto job = std::make_unique<Job>();
     job->attempt.number = probes_++;
-    job->attempt.server = server;
+    job->attempt.endpoint = server;
     job->attempt.give_up_at = deadlines_.now() + kProbeTimeout;
     enqueue(std::move(job));
 }
@@ -113,10 +113,10 @@
     auto& job = *owned;
     jobs_[key] = std::move(owned);
     job.sent_at = deadlines_.now();
-    const auto member = members_.find(job.attempt.server);
+    const auto member = members_.find(job.attempt.endpoint);
     if (member == members_.end() || !member->second->address) return end(job, Outcome::connect_failed);
     job.member = member->second.get();
-    if (!may_begin(job)) return end(job, Outcome::moot);
+    if (!may_begin(job)) return end(job, Outcome::expired);
     job.give_up_at.set(deadlines_, job.attempt.give_up_at, [this, &job] { give_up(job, Outcome::timeout); });
     job.connect_by.set(deadlines_, job.sent_at + settings_.connect_timeout_us,
                        [this, &job] { give_up(job, Outcome::connect_failed); });
@@ -141,7 +141,7 @@
         // No descriptor: nothing has been sent, and none of these can be.
         auto& job = *member.waiting.back();
         member.waiting.pop_back();
-        end(job, Outcome::moot);
+        end(job, Outcome::expired);
     }
 }
 
@@ -191,12 +191,12 @@
 
 bool Pool::begin(Link& link, Job& job) {
     if (!may_begin(job)) {
-        end(job, Outcome::moot);
+        end(job, Outcome::expired);
         return false;
     }
     job.connect_by.clear();
     job.link = &link;
-    job.on_kept = link.kept();
+    job.on_reused_connection = link.kept();
     by_link_.at(&link).job = &job;
     link.deadline.clear();
     if (job.is_probe())
@@ -214,12 +214,12 @@
 // Stops waiting for a connection or an answer. A link whose answer is still to come is closed with it.
 void Pool::give_up(Job& job, Outcome outcome) {
     if (job.link) {
-        if (!job.link->may_run() && outcome == Outcome::timeout) outcome = Outcome::moot;
+        if (!job.link->may_run() && outcome == Outcome::timeout) outcome = Outcome::expired;
         drop(*job.link);
     } else {
         auto& waiting = job.member->waiting;
         waiting.erase(std::remove(waiting.begin(), waiting.end(), &job), waiting.end());
-        if (outcome == Outcome::timeout) outcome = Outcome::moot;
+        if (outcome == Outcome::timeout) outcome = Outcome::expired;
     }
     end(job, outcome);
 }
@@ -231,24 +231,24 @@
     jobs_.erase(found);
     const Micros latency = deadlines_.now() - job.sent_at;
     if (job.is_probe()) {
-        decision::ProbeEnded e;
-        e.server = job.attempt.server;
+        decision::HealthCheckEnded e;
+        e.endpoint = job.attempt.endpoint;
         e.outcome = outcome;
         e.latency_us = latency;
-        if (answer && answer->value) e.reported = read_load(answer->value->bytes);
+        if (answer && answer->value) e.reported_status = read_load(answer->value->bytes);
         return results_.probe_ended(e);
     }
     decision::AttemptEnded e;
     e.request = job.attempt.request;
     e.attempt = job.attempt.number;
-    e.server = job.attempt.server;
+    e.endpoint = job.attempt.endpoint;
     e.outcome = outcome;
     e.latency_us = latency;
-    e.on_kept = job.on_kept;
+    e.on_reused_connection = job.on_reused_connection;
     std::optional<traffic::Value> value;
     if (answer) {
-        e.standing = answer->standing;
-        e.reported = answer->reported;
+        e.status = answer->status;
+        e.reported_status = answer->reported_status;
         if (outcome == Outcome::ok) value = std::move(answer->value);
     }
     results_.attempt_ended(e, std::move(value));
@@ -304,13 +304,13 @@
 
 void Pool::link_sent(Link& link) {
     const auto* job = by_link_.at(&link).job;
-    if (job && !job->is_probe()) numbers_.tried(job->attempt.klass);
+    if (job && !job->is_probe()) numbers_.tried(job->attempt.request_class);
 }
 
 // Once begun, an answer is the client's: it is not given up any more.
 bool Pool::link_value_begins(Link& link, const traffic::Value& head, std::size_t size) {
     auto& job = *by_link_.at(&link).job;
-    const decision::AnswerStarted start{job.attempt.request, job.attempt.number, job.attempt.server,
+    const decision::AnswerStarted start{job.attempt.request, job.attempt.number, job.attempt.endpoint,
                                         deadlines_.now() - job.sent_at};
     if (!job.is_probe() && results_.answer_started(start, head, size, link)) {
         job.give_up_at.clear();
@@ -358,7 +358,7 @@
     if (member.waiting.size() <= member.coming_up) return;
     auto& job = *member.waiting.front();
     member.waiting.pop_front();
-    end(job, turned_away ? Outcome::full : Outcome::connect_failed);
+    end(job, turned_away ? Outcome::overloaded : Outcome::connect_failed);
 }
 
 }  // namespace sloestack::upstream
--- a/src/upstream/connection_pool/pool.h
+++ b/src/upstream/connection_pool/pool.h
@@ -21,7 +21,7 @@
     LinkMaker link;  // of the protocol that these members speak
     Micros connect_timeout_us = 250'000;
     Micros idle_limit_us = 15'000'000;  // the members'; ours are closed before
-    bool gone_is_advice = false;
+    bool removal_is_advisory = false;
 };
 
 class Pool final : public traffic::Members, private LinkEvents {
@@ -30,10 +30,10 @@
          traffic::Results& results, metrics::Numbers& numbers);
     ~Pool() override;
 
-    void listed(decision::ListKind kind, const std::vector<traffic::Entry>& entries);
+    void listed(decision::EndpointListKind kind, const std::vector<traffic::Entry>& entries);
     void send(const traffic::Attempt& attempt) override;
     void cancel(traffic::RequestId request, int number) override;
-    void probe(traffic::ServerId server) override;
+    void probe(traffic::EndpointId server) override;
 
     // Closes idle links for as long as the share is exceeded; those in use end after their answers.
     void fit();
@@ -71,7 +71,7 @@
     PoolSettings settings_;
     traffic::Results& results_;
     metrics::Numbers& numbers_;
-    std::map<traffic::ServerId, std::unique_ptr<Member>> members_;
+    std::map<traffic::EndpointId, std::unique_ptr<Member>> members_;
     std::map<std::pair<traffic::RequestId, int>, std::unique_ptr<Job>> jobs_;
     struct Place {
         Member* member;
--- a/src/upstream/postgres/reply.cpp
+++ b/src/upstream/postgres/reply.cpp
@@ -29,20 +29,21 @@
 }  // namespace
 
 Outcome outcome_of(std::string_view sqlstate) {
-    if (sqlstate == pgwire::code::kReadOnly || sqlstate == pgwire::code::kTooFarBehind) return Outcome::miss;
-    if (sqlstate == pgwire::code::kTooManyConnections) return Outcome::full;
+    if (sqlstate == pgwire::code::kReadOnly || sqlstate == pgwire::code::kTooFarBehind)
+        return Outcome::not_eligible;
+    if (sqlstate == pgwire::code::kTooManyConnections) return Outcome::overloaded;
     return Outcome::error;
 }
 
 void Reply::parameter(std::string_view name, std::string_view value) {
     if (name == "role") {
-        if (value == "primary") answer_.standing.role = Role::primary;
-        if (value == "replica") answer_.standing.role = Role::replica;
+        if (value == "primary") answer_.status.role = Role::primary;
+        if (value == "replica") answer_.status.role = Role::replica;
     } else if (name == "applied_ms") {
         if (const auto milliseconds = upstream::number(value))
-            answer_.standing.position = upstream::position(*milliseconds, 1e3);
+            answer_.status.position = upstream::position(*milliseconds, 1e3);
     } else if (name == "load") {
-        answer_.reported = upstream::read_load(value);
+        answer_.reported_status = upstream::read_load(value);
     }
 }
 
--- a/src/wire/pgwire/statement.cpp
+++ b/src/wire/pgwire/statement.cpp
@@ -56,7 +56,7 @@
         if (name == "id") {
             out.id = value;
         } else if (name == "c") {
-            out.klass = value;
+            out.request_class = value;
         } else if (name == "k") {
             out.key = value;
         } else if (name == "d") {
@@ -74,7 +74,7 @@
         }
     }
     if (out.id.empty()) throw BadMessage("the statement's comment has no valid id");
-    if (out.klass.empty()) throw BadMessage("the statement's comment has no valid c");
+    if (out.request_class.empty()) throw BadMessage("the statement's comment has no valid c");
     if (!has_left) throw BadMessage("the statement's comment has no valid d");
     if (!has_cluster) throw BadMessage("the statement's comment has no valid cluster");
     return out;
--- a/src/wire/pgwire/statement.h
+++ b/src/wire/pgwire/statement.h
@@ -12,8 +12,8 @@
 namespace sloestack::pgwire {
 
 struct Tags {
-    std::string_view id, klass, key;  // within the statement
-    std::string_view quoted;          // the first quoted text: the row's key, which can name a session
+    std::string_view id, request_class, key;  // within the statement
+    std::string_view quoted;  // the first quoted text: the row's key, which can name a session
     std::int64_t left_ms = 0;
     std::size_t left_at = 0, left_size = 0;  // where the digits of `d` stand
     int cluster = 0;
--- a/tests/decision/endpoint_subset_test.cpp
+++ b/tests/decision/endpoint_subset_test.cpp
@@ -9,18 +9,18 @@
 
 using namespace sloestack::decision;
 
-std::vector<Candidate> group(std::size_t members, ServerId from = 1) {
-    std::vector<Candidate> out;
+std::vector<SubsetCandidate> group(std::size_t members, EndpointId from = 1) {
+    std::vector<SubsetCandidate> out;
     for (std::size_t i = 0; i < members; ++i)
-        out.push_back({static_cast<ServerId>(from + i * 7919), static_cast<int>(i % 3)});
+        out.push_back({static_cast<EndpointId>(from + i * 7919), static_cast<int>(i % 3)});
     return out;
 }
 
 TEST(Subset, FewRoutersUseAllMembersAndAGroupSmallerThanItsSubsetIsUsedWhole) {
-    for (const int routers : {1, 3, 100, 150}) EXPECT_EQ(subset(1, 0, group(6), routers).size(), 6u);
-    EXPECT_EQ(subset(1, 0, group(1), 1000).size(), 1u);
-    EXPECT_EQ(subset(1, 0, group(2), 1000).size(), 2u);
-    EXPECT_TRUE(subset(1, 0, {}, 300).empty());
+    for (const int routers : {1, 3, 100, 150}) EXPECT_EQ(select_subset(1, 0, group(6), routers).size(), 6u);
+    EXPECT_EQ(select_subset(1, 0, group(1), 1000).size(), 1u);
+    EXPECT_EQ(select_subset(1, 0, group(2), 1000).size(), 2u);
+    EXPECT_TRUE(select_subset(1, 0, {}, 300).empty());
 }
 
 // Every member is some router's, none has many more than the budget of 150, and they differ by what chance
@@ -28,10 +28,11 @@
 TEST(Subset, SummedOverTheRoutersEveryMemberIsReachedAndNoneFarBeyondTheBudget) {
     for (const int routers : {3, 100, 300, 1000})
         for (std::size_t members = 1; members <= 9; ++members) {
-            std::map<ServerId, int> links;
+            std::map<EndpointId, int> links;
             std::size_t all = 0;
             for (int i = 0; i < routers; ++i)
-                for (const auto id : subset(static_cast<std::uint64_t>(i), i % 3, group(members), routers))
+                for (const auto id :
+                     select_subset(static_cast<std::uint64_t>(i), i % 3, group(members), routers))
                     ++links[id], ++all;
             EXPECT_EQ(links.size(), members) << routers;
             EXPECT_EQ(all, static_cast<std::size_t>(routers) * subset_size(members, routers));
@@ -51,16 +52,16 @@
     auto members = group(7);
     int moved = 0, used = 0;
     for (std::uint64_t router = 0; router < 300; ++router) {
-        const auto before = subset(router, 1, members, 300);
+        const auto before = select_subset(router, 1, members, 300);
         auto left = members;
-        const auto gone = left[3].server;
+        const auto gone = left[3].endpoint;
         left.erase(left.begin() + 3);
-        const auto after = subset(router, 1, left, 300);
+        const auto after = select_subset(router, 1, left, 300);
         const bool had = std::count(before.begin(), before.end(), gone) > 0;
         used += had;
         for (const auto id : before)
             if (id != gone && std::count(after.begin(), after.end(), id) == 0) ++moved;
-        EXPECT_EQ(subset(router, 1, group(7, 500'000), 300).size(), before.size());
+        EXPECT_EQ(select_subset(router, 1, group(7, 500'000), 300).size(), before.size());
     }
     EXPECT_GT(used, 0);
     EXPECT_LE(moved, 300)
@@ -70,7 +71,8 @@
 TEST(Subset, MembersOfTheOwnZoneComeFirstButNotAlone) {
     int own = 0, others = 0;
     for (std::uint64_t router = 0; router < 300; ++router)
-        for (const auto id : subset(router, 0, group(6), 300)) ((id - 1) / 7919 % 3 == 0 ? own : others) += 1;
+        for (const auto id : select_subset(router, 0, group(6), 300))
+            ((id - 1) / 7919 % 3 == 0 ? own : others) += 1;
     EXPECT_GT(own, others / 2 * 1.2);
     EXPECT_GT(others, own);
 }
--- a/tests/decision/router_test.cpp
+++ b/tests/decision/router_test.cpp
@@ -18,27 +18,30 @@
 
 constexpr int kBounded = 0, kSession = 1, kFresh = 2, kAny = 3, kWrite = 4;
 
-ClassSettings make_class(Need need, Effect effect = Effect::safe) {
-    ClassSettings c;
-    c.need = need;
-    c.effect = effect;
-    c.aim_us = 200'000;
+RequestClassSettings make_class(Consistency need, Idempotency effect = Idempotency::idempotent,
+                                bool is_write = false) {
+    RequestClassSettings c;
+    c.is_write = is_write;
+    c.consistency = need;
+    c.idempotency = effect;
+    c.latency_objective_us = 200'000;
     c.deadline_us = 1'000'000;
-    c.staleness_bound_us = need == Need::bounded ? 300'000 : 0;
-    c.repeat_window_us = effect == Effect::keyed ? 500'000 : 0;
+    c.staleness_bound_us = need == Consistency::bounded_staleness ? 300'000 : 0;
+    c.idempotency_window_us = effect == Idempotency::keyed ? 500'000 : 0;
     return c;
 }
 
-Settings base(Effect write_effect = Effect::unsafe) {
+Settings base(Idempotency write_effect = Idempotency::none) {
     Settings s;
-    s.classes = {make_class(Need::bounded), make_class(Need::session), make_class(Need::fresh),
-                 make_class(Need::any), make_class(Need::write, write_effect)};
-    s.may_cancel = true;
-    s.tells_retry_after = true;
+    s.classes = {make_class(Consistency::bounded_staleness), make_class(Consistency::session),
+                 make_class(Consistency::linearizable), make_class(Consistency::any),
+                 make_class(Consistency::linearizable, write_effect, true)};
+    s.cancel_allowed = true;
+    s.retry_after_supported = true;
     s.max_retry_after_us = 1'000'000;
     s.max_attempts = 6;
-    s.cold_share = 0.2;
-    s.warm_after_us = 10'000'000;
+    s.slow_start_min_capacity_ratio = 0.2;
+    s.slow_start_duration_us = 10'000'000;
     s.overload_multiple = 2;
     s.overload_window_us = 2'000'000;
     return s;
@@ -53,50 +56,50 @@
     std::map<RequestId, int> sent;
 
     explicit Bench(const Settings& s, int members = 3, std::uint64_t seed = 1) : router(s, seed) {
-        std::vector<ServerEntry> list;
-        for (int i = 1; i <= members; ++i) list.push_back(entry(static_cast<ServerId>(i)));
-        tell(ListKind::cached, list);
+        std::vector<EndpointEntry> list;
+        for (int i = 1; i <= members; ++i) list.push_back(entry(static_cast<EndpointId>(i)));
+        tell(EndpointListKind::cached, list);
         step();
     }
-    static ServerEntry entry(ServerId id, ServerState state = ServerState::ready) {
-        ServerEntry e;
-        e.server = id;
+    static EndpointEntry entry(EndpointId id, EndpointState state = EndpointState::ready) {
+        EndpointEntry e;
+        e.endpoint = id;
         e.state = state;
         return e;
     }
-    void tell(ListKind kind, std::vector<ServerEntry> list) {
+    void tell(EndpointListKind kind, std::vector<EndpointEntry> list) {
         events.emplace_back(
-            ServerList{kind, std::make_shared<const std::vector<ServerEntry>>(std::move(list))});
+            EndpointList{kind, std::make_shared<const std::vector<EndpointEntry>>(std::move(list))});
     }
-    void arrive(RequestId id, int klass, SessionId session = 0) {
+    void arrive(RequestId id, int request_class, SessionId session = 0) {
         Arrival a;
         a.request = id;
-        a.klass = klass;
+        a.request_class = request_class;
         a.session = session;
-        a.not_after = now + 1'000'000;
+        a.deadline = now + 1'000'000;
         events.emplace_back(a);
     }
-    void end(RequestId id, ServerId server, Outcome o, Role role, Time position, bool ended = false,
-             bool on_kept = false) {
+    void end(RequestId id, EndpointId server, Outcome o, Role role, Time position, bool ended = false,
+             bool on_reused_connection = false) {
         AttemptEnded e;
         e.request = id;
         e.attempt = sent[id] - 1;
-        e.server = server;
+        e.endpoint = server;
         e.outcome = o;
         e.latency_us = 20'000;
         e.request_ended = ended;
-        e.on_kept = on_kept;
-        e.standing.role = role;
-        if (position) e.standing.position = position;
+        e.on_reused_connection = on_reused_connection;
+        e.status.role = role;
+        if (position) e.status.position = position;
         events.emplace_back(e);
     }
-    void report(ServerId server, Role role, Time position) {
-        ProbeEnded p;
-        p.server = server;
-        p.reported = {role, position};
+    void report(EndpointId server, Role role, Time position) {
+        HealthCheckEnded p;
+        p.endpoint = server;
+        p.reported_status = {role, position};
         events.emplace_back(p);
     }
-    void ok(RequestId id, ServerId server, Role role, Time position) {
+    void ok(RequestId id, EndpointId server, Role role, Time position) {
         end(id, server, Outcome::ok, role, position, true);
     }
     void step(Micros later = 0) {
@@ -105,15 +108,15 @@
         router.step(now, events, actions);
         events.clear();
         for (const auto& a : actions)
-            if (const auto* s = std::get_if<Send>(&a)) ++sent[s->request];
+            if (const auto* s = std::get_if<Forward>(&a)) ++sent[s->request];
     }
     void tick(Micros later = 5'000) {
         events.emplace_back(TimerFired{1});
         step(later);
     }
-    std::optional<ServerId> sent_to(RequestId id) const {
+    std::optional<EndpointId> sent_to(RequestId id) const {
         for (const auto& a : actions)
-            if (const auto* s = std::get_if<Send>(&a); s && s->request == id) return s->server;
+            if (const auto* s = std::get_if<Forward>(&a); s && s->request == id) return s->endpoint;
         return std::nullopt;
     }
     template <class T>
@@ -123,9 +126,9 @@
         return nullptr;
     }
     // Makes `server` the known primary and gives every member a position.
-    void settle(ServerId server, int members = 3) {
+    void settle(EndpointId server, int members = 3) {
         for (int i = 1; i <= members; ++i) {
-            const auto id = static_cast<ServerId>(i);
+            const auto id = static_cast<EndpointId>(i);
             report(id, id == server ? Role::primary : Role::replica, now - (id == server ? 0 : 10'000));
         }
         step();
@@ -152,7 +155,7 @@
     }
     b.now += 20'000;
     b.settle(2);
-    std::set<ServerId> used;
+    std::set<EndpointId> used;
     for (RequestId id = 21; id <= 40; ++id) {
         b.arrive(id, kSession, 7);
         b.step();
@@ -174,7 +177,7 @@
     b.end(1, 2, Outcome::reset, Role::unknown, 0);
     b.step(1000);
     EXPECT_FALSE(b.sent_to(1));
-    EXPECT_FALSE(b.find<Refuse>(1));
+    EXPECT_FALSE(b.find<Reject>(1));
     EXPECT_TRUE(b.find<Fail>(1));
 }
 
@@ -183,7 +186,7 @@
     b.settle(2);
     b.arrive(1, kWrite);
     b.step(1000);
-    b.end(1, 2, Outcome::miss, Role::replica, b.now - 5000);
+    b.end(1, 2, Outcome::not_eligible, Role::replica, b.now - 5000);
     b.step(1000);
     EXPECT_FALSE(b.find<Fail>(1));
     b.report(3, Role::primary, b.now);
@@ -192,14 +195,14 @@
 }
 
 TEST(Write, KeyedIsNotRepeatedAfterItsWindow) {
-    Bench b(base(Effect::keyed));
+    Bench b(base(Idempotency::keyed));
     b.settle(2);
     b.arrive(1, kWrite);
     b.step(1000);
     b.end(1, 2, Outcome::error, Role::primary, b.now);
     b.step(600'000);
     EXPECT_FALSE(b.sent_to(1));
-    EXPECT_FALSE(b.find<Refuse>(1));
+    EXPECT_FALSE(b.find<Reject>(1));
     EXPECT_TRUE(b.find<Fail>(1));
 }
 
@@ -243,7 +246,8 @@
 TEST(Drain, NothingNewGoesToAServerToldDrainingOrGone) {
     Bench b(base());
     b.settle(1);
-    b.tell(ListKind::changes, {Bench::entry(2, ServerState::draining), Bench::entry(3, ServerState::gone)});
+    b.tell(EndpointListKind::changes,
+           {Bench::entry(2, EndpointState::draining), Bench::entry(3, EndpointState::removed)});
     b.step(1000);
     for (RequestId id = 1; id <= 10; ++id) {
         b.arrive(id, kAny);
@@ -258,7 +262,7 @@
     Bench b(base(), 2);
     auto e = Bench::entry(9);
     e.started_at = b.now;
-    b.tell(ListKind::changes, {e});
+    b.tell(EndpointListKind::changes, {e});
     for (RequestId id = 1; id <= 100; ++id) b.arrive(id, kAny);
     b.step(1000);
     int cold = 0;
@@ -273,7 +277,7 @@
     bool answered = false;
     for (int i = 0; i < 199 && !answered; ++i) {
         b.tick();
-        if (const auto* r = b.find<Refuse>(1)) {
+        if (const auto* r = b.find<Reject>(1)) {
             answered = true;
             EXPECT_GT(r->retry_after_us, 0);
         }
@@ -284,7 +288,7 @@
 // Replica 2 is told to move at `pace` of the time that passes; reads are short of members new enough.
 int refused_of_100(double pace, bool reads_short) {
     auto s = base();
-    s.position_check = PositionCheck::refuse;
+    s.position_check = PositionCheck::reject;
     Bench b(s, 2);
     b.settle(1, 1);
     Time lagging = b.now - 2'000'000;
@@ -292,14 +296,14 @@
     int refused = 0;
     for (int i = 0; i < 200; ++i) {
         lagging += static_cast<Time>(10'000 * pace);
-        for (ServerId server : {1u, 2u}) {
+        for (EndpointId server : {1u, 2u}) {
             b.report(server, server == 1 ? Role::primary : Role::replica, server == 1 ? b.now : lagging);
         }
         if (reads_short)
             for (int k = 0; k < 3; ++k) b.arrive(1'000'000 + id * 10 + static_cast<RequestId>(k), kBounded);
         b.arrive(id, kWrite);
         b.tick(10'000);
-        if (i >= 100) refused += b.find<Refuse>(id) != nullptr;
+        if (i >= 100) refused += b.find<Reject>(id) != nullptr;
         if (b.sent_to(id)) b.ok(id, 1, Role::primary, b.now);
         ++id;
     }
@@ -320,7 +324,7 @@
     Bench b(s);
     b.settle(1);
     RequestId id = 1;
-    std::vector<std::pair<RequestId, ServerId>> out;
+    std::vector<std::pair<RequestId, EndpointId>> out;
     int to_hung = 0;
     for (int i = 0; i < 200; ++i) {
         for (const auto& [r, server] : out)
@@ -385,7 +389,7 @@
             b.tick();
             if (const auto to = b.sent_to(id)) b.end(id, *to, Outcome::reset, Role::unknown, 0, true, kept);
             b.step();
-            out = out || logged(b, "server out");
+            out = out || logged(b, "endpoint ejected");
         }
         EXPECT_EQ(out, !kept);
     }
@@ -411,7 +415,7 @@
 TEST(Room, OfAnUnknownServerIsSharedByTheRouters) {
     const auto sent = [](int routers) {
         auto s = base();
-        s.routers = routers;
+        s.router_count = routers;
         Bench b(s, 1);
         for (RequestId id = 1; id <= 50; ++id) b.arrive(id, kAny);
         b.step(1000);
@@ -447,20 +451,20 @@
 // Incidents ia49149 and i80684d: one request a router is a burst where there are many routers.
 TEST(Cold, ManyRoutersTogetherKeepToTheBudgetOfAColdServer) {
     auto s = base();
-    s.routers = 60;
+    s.router_count = 60;
     std::vector<std::unique_ptr<Bench>> fleet;
     for (std::uint64_t i = 0; i < 60; ++i) {
         fleet.push_back(std::make_unique<Bench>(s, 4, i + 1));
         fleet.back()->settle(1, 4);
     }
-    std::map<ServerId, int> sends;
+    std::map<EndpointId, int> sends;
     for (int i = 0; i < 800; ++i) {
         for (std::size_t n = 0; n < fleet.size(); ++n) {
             auto& b = *fleet[n];
             if (i == 400) {
                 auto e = Bench::entry(4);
                 e.started_at = b.now;
-                b.tell(ListKind::changes, {e});
+                b.tell(EndpointListKind::changes, {e});
             }
             const auto id = static_cast<RequestId>(i + 1);
             const bool now = (static_cast<std::size_t>(i) + n) % 20 == 0;
@@ -483,8 +487,8 @@
     for (const int routers : {3, 20, 30, 300})
         for (const bool fresh : {false, true}) {
             auto s = base();
-            s.routers = routers;
-            s.position_check = PositionCheck::refuse;
+            s.router_count = routers;
+            s.position_check = PositionCheck::reject;
             constexpr Micros kStep = 20'000;
             constexpr double kRate = 240, kWarm = 4,
                              kBusy = 0.9;  // requests a second; members; of their capacity
@@ -512,7 +516,7 @@
                     if (i == kBefore) {
                         auto e = Bench::entry(1);  // the primary: half of all requests can go nowhere else
                         e.started_at = b->now;
-                        b->tell(ListKind::changes, {e});
+                        b->tell(EndpointListKind::changes, {e});
                     }
                     std::vector<RequestId> asked;
                     for (int n = arrivals(random); n > 0; --n)
@@ -531,8 +535,9 @@
             for (std::size_t i = 0; i < to_cold.size(); ++i) {
                 sum += to_cold[i] - (i >= window ? to_cold[i - window] : 0);
                 const double middle = num(static_cast<Micros>(i - std::min(i, window) / 2) * kStep);
-                const double share =
-                    std::min(1.0, s.cold_share + (1 - s.cold_share) * middle / num(s.warm_after_us));
+                const double share = std::min(
+                    1.0, s.slow_start_min_capacity_ratio +
+                             (1 - s.slow_start_min_capacity_ratio) * middle / num(s.slow_start_duration_us));
                 const double n =
                     s.overload_multiple * share * kRate / kWarm / kBusy * num(s.overload_window_us) / 1e6;
                 most_over = std::max(most_over, sum - (n + 2 * std::sqrt(n) + 2));
@@ -549,12 +554,12 @@
     int served = 0;
     for (RequestId id = 1; id <= 600; ++id) {
         if (id == 300) {
-            std::vector<ServerEntry> all;
-            for (ServerId server = 1; server <= 3; ++server) {
+            std::vector<EndpointEntry> all;
+            for (EndpointId server = 1; server <= 3; ++server) {
                 all.push_back(Bench::entry(server));
                 all.back().started_at = b.now;
             }
-            b.tell(ListKind::changes, all);
+            b.tell(EndpointListKind::changes, all);
         }
         b.arrive(id, kAny);
         b.tick(5'000);
@@ -571,13 +576,13 @@
 TEST(Primary, SearchIsSpreadOverTheRouters) {
     const auto sent = [](int routers) {
         auto s = base();
-        s.routers = routers;
+        s.router_count = routers;
         Bench b(s);
         int count = 0;
         for (RequestId id = 1; id <= 20; ++id) {
             b.arrive(id, kWrite);
             b.tick(10'000);
-            for (const auto& a : b.actions) count += std::holds_alternative<Send>(a);
+            for (const auto& a : b.actions) count += std::holds_alternative<Forward>(a);
         }
         return count;
     };
@@ -588,10 +593,10 @@
 TEST(Primary, ListedAsGoneStaysWhereThatIsAdviceOnly) {
     for (const bool advice : {true, false}) {
         auto s = base();
-        s.gone_is_advice = advice;
+        s.removal_is_advisory = advice;
         Bench b(s);
         b.settle(2);
-        b.tell(ListKind::complete, {});
+        b.tell(EndpointListKind::complete, {});
         b.arrive(1, kWrite);
         b.step(1000);
         EXPECT_EQ(b.sent_to(1).has_value(), advice);
@@ -616,7 +621,7 @@
         Bench b(base(), 2);
         b.settle(1, 2);
         int count = 0;
-        std::map<RequestId, std::pair<Time, ServerId>> out;
+        std::map<RequestId, std::pair<Time, EndpointId>> out;
         for (RequestId id = 1; id <= 800; ++id) {
             for (auto it = out.begin(); it != out.end();) {
                 const bool due = it->second.first + latency <= b.now;
@@ -626,7 +631,7 @@
             b.arrive(id, kAny);
             b.tick(10'000);
             if (const auto to = b.sent_to(id)) out[id] = {b.now, *to};
-            count += id > 400 && b.find<Refuse>(id);
+            count += id > 400 && b.find<Reject>(id);
         }
         return count;
     };
@@ -647,8 +652,8 @@
     ASSERT_TRUE(to);
     b.end(1, *to, Outcome::error, Role::unknown, 0);
     b.step(1000);
-    ASSERT_TRUE(b.find<Refuse>(1));
-    EXPECT_EQ(b.find<Refuse>(1)->retry_after_us, 1'000'000);
+    ASSERT_TRUE(b.find<Reject>(1));
+    EXPECT_EQ(b.find<Reject>(1)->retry_after_us, 1'000'000);
 }
 
 TEST(Read, AForgottenMarkStillBindsAMemberFromAnOlderCopy) {
@@ -664,7 +669,7 @@
         b.tick();
         if (i % 20 == 0) b.settle(1, 2);
     }
-    b.tell(ListKind::changes, {Bench::entry(3)});
+    b.tell(EndpointListKind::changes, {Bench::entry(3)});
     b.report(3, Role::replica, commit - 500'000);
     for (RequestId id = 2; id < 40; ++id) {
         b.arrive(id, kSession, 7);
@@ -677,7 +682,7 @@
 // With a sample every 1.5 s the lag is still known and the throttle sets in.
 TEST(Throttle, HearsRepliesThatComeSeldom) {
     auto s = base();
-    s.position_check = PositionCheck::refuse;
+    s.position_check = PositionCheck::reject;
     Bench b(s, 2);
     b.settle(1, 1);
     Time lagging = b.now - 2'000'000;
@@ -685,7 +690,7 @@
     for (RequestId id = 1; id <= 1500; ++id) {
         lagging += 2'500;
         if (id % 150 == 1)
-            for (ServerId server : {1u, 2u}) {
+            for (EndpointId server : {1u, 2u}) {
                 b.report(server, server == 1 ? Role::primary : Role::replica, server == 1 ? b.now : lagging);
             }
         for (RequestId k = 1; k <= 6; ++k) b.arrive(10'000 * k + id, kBounded);
@@ -693,7 +698,7 @@
         b.tick(10'000);
         for (RequestId k = 1; k <= 6; ++k)
             if (k % 2 && b.sent_to(10'000 * k + id)) b.ok(10'000 * k + id, 1, Role::unknown, 0);
-        if (id > 700) refused += b.find<Refuse>(id) != nullptr;
+        if (id > 700) refused += b.find<Reject>(id) != nullptr;
         if (b.sent_to(id)) b.ok(id, 1, Role::unknown, 0);
     }
     EXPECT_GT(refused, 400);
@@ -701,26 +706,26 @@
 
 TEST(Throttle, OfOneGroupLeavesTheOthersAlone) {
     auto s = base();
-    s.position_check = PositionCheck::refuse;
+    s.position_check = PositionCheck::reject;
     Bench b(s, 2);
-    std::vector<ServerEntry> other{Bench::entry(11), Bench::entry(12)};
-    for (auto& e : other) e.group = 1;
-    b.tell(ListKind::changes, other);
+    std::vector<EndpointEntry> other{Bench::entry(11), Bench::entry(12)};
+    for (auto& e : other) e.replica_group = 1;
+    b.tell(EndpointListKind::changes, other);
     b.step();
     Time lagging = b.now - 2'000'000;
     int here = 0, there = 0;
     for (RequestId id = 1; id <= 300; ++id) {
         lagging += 2'500;
-        for (ServerId server : {1u, 2u, 11u, 12u}) {
+        for (EndpointId server : {1u, 2u, 11u, 12u}) {
             b.report(server, server % 10 == 1 ? Role::primary : Role::replica, server == 2 ? lagging : b.now);
         }
         for (RequestId k = 1; k <= 3; ++k) b.arrive(k * 10'000 + id, kBounded);
         b.arrive(id, kWrite);
         b.arrive(90'000 + id, kWrite);
-        std::get<Arrival>(b.events.back()).group = 1;
+        std::get<Arrival>(b.events.back()).replica_group = 1;
         b.tick(10'000);
-        here += b.find<Refuse>(id) != nullptr;
-        there += b.find<Refuse>(90'000 + id) != nullptr;
+        here += b.find<Reject>(id) != nullptr;
+        there += b.find<Reject>(90'000 + id) != nullptr;
         if (b.sent_to(id)) b.ok(id, 1, Role::primary, b.now);
         if (b.sent_to(90'000 + id)) b.ok(90'000 + id, 11, Role::primary, b.now);
     }
@@ -732,21 +737,21 @@
 // time.
 TEST(Input, OddListsAndLateRequestsAreAnswered) {
     Bench b(base());
-    b.tell(ListKind::complete, {});
+    b.tell(EndpointListKind::complete, {});
     auto e = Bench::entry(5);
-    e.group = 77;
+    e.replica_group = 77;
     e.started_at = 1;
-    b.tell(ListKind::changes, {e, e, Bench::entry(6, ServerState::gone)});
+    b.tell(EndpointListKind::changes, {e, e, Bench::entry(6, EndpointState::removed)});
     b.arrive(1, kAny);
-    std::get<Arrival>(b.events.back()).not_after = b.now - 1;
+    std::get<Arrival>(b.events.back()).deadline = b.now - 1;
     b.arrive(2, kWrite);
-    std::get<Arrival>(b.events.back()).group = 1234;
+    std::get<Arrival>(b.events.back()).replica_group = 1234;
     b.step(1000);
-    EXPECT_TRUE(b.find<Refuse>(1));
+    EXPECT_TRUE(b.find<Reject>(1));
     bool answered = false;
     for (int i = 0; i < 200; ++i) {
         b.tick();
-        answered = answered || b.find<Refuse>(2);
+        answered = answered || b.find<Reject>(2);
     }
     EXPECT_TRUE(answered);
 }
@@ -755,7 +760,7 @@
     const auto run = [] {
         Bench b(base(), 5, 42);
         b.settle(2, 5);
-        std::vector<ServerId> to;
+        std::vector<EndpointId> to;
         for (RequestId id = 1; id <= 200; ++id) {
             b.arrive(id, static_cast<int>(id % 5));
             b.tick();
@@ -773,28 +778,31 @@
     const auto pick = [&](std::uint64_t n) { return rng() % n; };
     Bench b(s, 4, seed);
     struct Live {
-        int klass;
-        Time not_after;
+        int request_class;
+        Time deadline;
         std::set<int> open;
-        std::vector<ServerId> to;
+        std::vector<EndpointId> to;
         bool risk = false, done = false;
     };
     std::map<RequestId, Live> live;
-    std::map<ServerId, Time> told;
+    std::map<EndpointId, Time> told;
     RequestId next = 1;
     for (int i = 0; i < 3000; ++i) {
         const Micros later = static_cast<Micros>(1000 + pick(9000));
         const Time then = b.now + later;
         if (pick(3)) {
             b.arrive(next, static_cast<int>(pick(5)), pick(6));
-            live[next] =
-                Live{static_cast<int>(std::get<Arrival>(b.events.back()).klass), b.now + 1'000'000, {}, {}};
+            live[next] = Live{static_cast<int>(std::get<Arrival>(b.events.back()).request_class),
+                              b.now + 1'000'000,
+                              {},
+                              {}};
             ++next;
         }
         if (!pick(200)) {
-            const auto id = static_cast<ServerId>(1 + pick(4));
+            const auto id = static_cast<EndpointId>(1 + pick(4));
             const bool drain = pick(2);
-            b.tell(ListKind::changes, {Bench::entry(id, drain ? ServerState::draining : ServerState::ready)});
+            b.tell(EndpointListKind::changes,
+                   {Bench::entry(id, drain ? EndpointState::draining : EndpointState::ready)});
             if (!drain)
                 told.erase(id);
             else if (!told.count(id))
@@ -802,22 +810,23 @@
         }
         for (auto& [id, l] : live) {
             if (l.done || l.open.empty()) continue;
-            const bool late = then >= l.not_after;
+            const bool late = then >= l.deadline;
             if (!late && pick(4)) continue;
             const int attempt = *l.open.begin();
-            constexpr Outcome all[] = {Outcome::ok,   Outcome::ok,    Outcome::error,         Outcome::full,
-                                       Outcome::miss, Outcome::reset, Outcome::connect_failed};
+            constexpr Outcome all[] = {
+                Outcome::ok,           Outcome::ok,    Outcome::error,         Outcome::overloaded,
+                Outcome::not_eligible, Outcome::reset, Outcome::connect_failed};
             const Outcome o = late ? Outcome::timeout : all[pick(7)];
             const auto server = l.to[static_cast<std::size_t>(attempt)];
             AttemptEnded e;
             e.request = id;
             e.attempt = attempt;
-            e.server = server;
+            e.endpoint = server;
             e.outcome = o;
             e.latency_us = 10'000;
             e.request_ended = o == Outcome::ok;
-            e.standing.role = server == 1 ? Role::primary : Role::replica;
-            e.standing.position = then - 5000;
+            e.status.role = server == 1 ? Role::primary : Role::replica;
+            e.status.position = then - 5000;
             b.events.emplace_back(e);
             l.open.erase(attempt);
             l.done = o == Outcome::ok;
@@ -825,27 +834,28 @@
         }
         b.tick(later);
         for (const auto& a : b.actions) {
-            if (const auto* x = std::get_if<Send>(&a)) {
+            if (const auto* x = std::get_if<Forward>(&a)) {
                 auto& l = live.at(x->request);
                 ASSERT_FALSE(l.done);
-                ASSERT_LT(b.now, l.not_after);
-                if (s.classes[static_cast<std::size_t>(l.klass)].effect == Effect::unsafe) {
+                ASSERT_LT(b.now, l.deadline);
+                if (s.classes[static_cast<std::size_t>(l.request_class)].idempotency == Idempotency::none) {
                     ASSERT_FALSE(l.risk || !l.open.empty());
                 }
-                if (!s.second_copies) {
+                if (!s.hedging_allowed) {
                     ASSERT_TRUE(l.open.empty());
                 }
                 ASSERT_LT(static_cast<int>(l.to.size()), s.max_attempts);
                 // What stands before the list in the same step is decided by the older one.
-                if (told.count(x->server)) {
-                    ASSERT_EQ(b.now, told[x->server]);
+                if (told.count(x->endpoint)) {
+                    ASSERT_EQ(b.now, told[x->endpoint]);
                 }
                 l.open.insert(static_cast<int>(l.to.size()));
-                l.to.push_back(x->server);
-            } else if (const auto* r = std::get_if<Refuse>(&a)) {
+                l.to.push_back(x->endpoint);
+            } else if (const auto* r = std::get_if<Reject>(&a)) {
                 auto& l = live.at(r->request);
                 ASSERT_FALSE(l.done);
-                if (s.classes[static_cast<std::size_t>(l.klass)].effect != Effect::safe) {
+                if (s.classes[static_cast<std::size_t>(l.request_class)].idempotency !=
+                    Idempotency::idempotent) {
                     ASSERT_FALSE(l.risk || !l.open.empty());
                 }
                 l.done = true;
@@ -854,17 +864,17 @@
                 live.at(f->request).done = true;
             }
         }
-        for (const auto& [id, l] : live) ASSERT_TRUE(l.done || b.now <= l.not_after + 8000) << id;
+        for (const auto& [id, l] : live) ASSERT_TRUE(l.done || b.now <= l.deadline + 8000) << id;
     }
     EXPECT_GT(next, 1000u);
 }
 
 TEST(Rules, HoldUnderRandomEvents) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        auto s = base(seed % 2 ? Effect::unsafe : Effect::keyed);
-        s.second_copies = seed % 3 == 0;
+        auto s = base(seed % 2 ? Idempotency::none : Idempotency::keyed);
+        s.hedging_allowed = seed % 3 == 0;
         s.position_check = seed % 2 ? PositionCheck::none : PositionCheck::wait;
-        s.may_cancel = seed != 4;
+        s.cancel_allowed = seed != 4;
         soak(s, seed);
     }
 }
@@ -873,15 +883,15 @@
 TEST(Probes, ManyRoutersProbeMoreSeldom) {
     const auto probes_in_half_a_second = [](int routers) {
         auto s = base();
-        s.routers = routers;
-        s.may_probe = s.probes_report = true;
+        s.router_count = routers;
+        s.health_checks_allowed = s.health_checks_report_status = true;
         Bench b(s);
         b.arrive(1, kWrite);
         b.step();
         int count = 0;
         for (int i = 0; i < 100; ++i) {
             b.tick();
-            for (const auto& a : b.actions) count += std::holds_alternative<Probe>(a);
+            for (const auto& a : b.actions) count += std::holds_alternative<StartHealthCheck>(a);
         }
         return count;
     };
@@ -892,9 +902,9 @@
 // ---- what many routers do together: each alone is within any limit, the sum is what a member bears ----
 Settings fleet_of(int routers) {
     auto s = base();
-    s.routers = routers;
+    s.router_count = routers;
     s.position_check = PositionCheck::wait;
-    s.may_probe = s.probes_report = true;
+    s.health_checks_allowed = s.health_checks_report_status = true;
     return s;
 }
 
@@ -906,7 +916,7 @@
             Bench b(fleet_of(routers), 5, static_cast<std::uint64_t>(i) + 1);
             b.arrive(1, kAny);
             b.step();
-            for (const auto& a : b.actions) count += std::holds_alternative<Probe>(a);
+            for (const auto& a : b.actions) count += std::holds_alternative<StartHealthCheck>(a);
         }
         return count;
     };
@@ -923,13 +933,13 @@
     b.arrive(1, kAny);
     b.step();
     b.ok(1, b.sent_to(1).value_or(1), Role::unknown, 0);
-    b.tell(ListKind::changes, {Bench::entry(1, ServerState::gone)});
+    b.tell(EndpointListKind::changes, {Bench::entry(1, EndpointState::removed)});
     b.step();
     int probes = 0;
     const auto pass = [&] {
         for (int i = 0; i < 200; ++i) {
             b.tick();
-            for (const auto& a : b.actions) probes += std::holds_alternative<Probe>(a);
+            for (const auto& a : b.actions) probes += std::holds_alternative<StartHealthCheck>(a);
         }
     };
     pass();
@@ -956,7 +966,7 @@
             }
             b.arrive(1000, kAny);
             b.step();
-            refused += b.find<Refuse>(1000) != nullptr;
+            refused += b.find<Reject>(1000) != nullptr;
         }
         return refused;
     };
@@ -971,15 +981,15 @@
     b.settle(1);
     auto started = Bench::entry(1);
     started.started_at = b.now;
-    b.tell(ListKind::changes, {started});
+    b.tell(EndpointListKind::changes, {started});
     b.step();
     int reads = 0, writes = 0;
-    const auto ask = [&](RequestId id, int klass) {
-        b.arrive(id, klass);
+    const auto ask = [&](RequestId id, int request_class) {
+        b.arrive(id, request_class);
         b.step(20'000);
         const auto to = b.sent_to(id);
         if (!to) return;
-        (klass == kAny ? reads : writes) += *to == 1;
+        (request_class == kAny ? reads : writes) += *to == 1;
         b.ok(id, *to, *to == 1 ? Role::primary : Role::replica, b.now - (*to == 1 ? 0 : 1000));
         b.step();
     };
@@ -993,8 +1003,8 @@
 TEST(Health, TellsHowManyItAvoids) {
     Bench b(base());
     b.settle(1);
-    EXPECT_EQ(b.router.avoided(), 0u);
-    for (RequestId id = 1; id < 200 && b.router.avoided() == 0; ++id) {
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 0u);
+    for (RequestId id = 1; id < 200 && b.router.ejected_endpoint_count() == 0; ++id) {
         b.arrive(id, kAny);
         b.step(20'000);
         const auto to = b.sent_to(id);
@@ -1005,10 +1015,10 @@
             b.ok(id, *to, *to == 1 ? Role::primary : Role::replica, b.now);
         b.step();
     }
-    EXPECT_EQ(b.router.avoided(), 1u);
-    b.tell(ListKind::changes, {Bench::entry(2, ServerState::draining)});
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 1u);
+    b.tell(EndpointListKind::changes, {Bench::entry(2, EndpointState::draining)});
     b.step();
-    EXPECT_EQ(b.router.avoided(), 0u);
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 0u);
 }
 
 // A begun answer is the client's: it is neither given up at its deadline nor is its server taken for silent
@@ -1024,9 +1034,9 @@
     b.step(30'000);
     for (int i = 0; i < 600; ++i) {
         b.tick();
-        EXPECT_FALSE(b.find<Fail>(1) || b.find<Refuse>(1) || b.find<Cancel>(1));
+        EXPECT_FALSE(b.find<Fail>(1) || b.find<Reject>(1) || b.find<Cancel>(1));
     }
-    EXPECT_EQ(b.router.avoided(), 0u);
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 0u);
     b.end(1, *to, Outcome::reset, Role::unknown, 0, true);
     b.step();
     EXPECT_FALSE(b.sent_to(1));
@@ -1037,63 +1047,63 @@
 // Each way to be given up has a cause of its own, which operators add up over the fleet.
 TEST(Answer, TellsWhyARequestIsGivenUp) {
     const auto cause = [](Bench& b, RequestId id) {
-        if (const auto* r = b.find<Refuse>(id)) return std::optional(r->cause);
-        if (const auto* f = b.find<Fail>(id)) return std::optional(f->cause);
-        return std::optional<Cause>();
+        if (const auto* r = b.find<Reject>(id)) return std::optional(r->reason);
+        if (const auto* f = b.find<Fail>(id)) return std::optional(f->reason);
+        return std::optional<RejectionReason>();
     };
     const auto waits_for = [&](Bench& b, RequestId id) {
         for (int i = 0; i < 300; ++i) {
             if (const auto found = cause(b, id)) return found;
             b.tick();
         }
-        return std::optional<Cause>();
+        return std::optional<RejectionReason>();
     };
     {
         Bench b(base(), 0);
         b.arrive(1, 99);
         b.step();
-        EXPECT_EQ(cause(b, 1), Cause::unknown_class);
+        EXPECT_EQ(cause(b, 1), RejectionReason::unknown_class);
         b.arrive(2, kAny);
         b.step();
-        EXPECT_EQ(waits_for(b, 2), Cause::no_member);
+        EXPECT_EQ(waits_for(b, 2), RejectionReason::no_eligible_endpoint);
         b.arrive(3, kWrite);
         b.step();
-        EXPECT_EQ(waits_for(b, 3), Cause::no_primary);
+        EXPECT_EQ(waits_for(b, 3), RejectionReason::no_primary);
     }
     {  // A replica with room that is too old, and a primary that has none left for reads.
         auto s = base();
-        s.position_check = PositionCheck::refuse;
+        s.position_check = PositionCheck::reject;
         Bench b(s, 2);
         b.report(1, Role::primary, b.now);
         b.report(2, Role::replica, b.now - 5'000'000);
         b.step();
         for (RequestId id = 1; id <= 40; ++id) b.arrive(id, kBounded);
         b.step();
-        EXPECT_EQ(waits_for(b, 40), Cause::not_new_enough);
+        EXPECT_EQ(waits_for(b, 40), RejectionReason::too_stale);
     }
     {
         Bench b(base(), 1);
         b.settle(1, 1);
         for (RequestId id = 1; id <= 60; ++id) b.arrive(id, kWrite);
         b.step();
-        EXPECT_EQ(waits_for(b, 60), Cause::no_room);
+        EXPECT_EQ(waits_for(b, 60), RejectionReason::at_capacity);
         b.arrive(100, kWrite);
         b.step();
     }
     {
-        Bench b(base(Effect::unsafe), 1);
+        Bench b(base(Idempotency::none), 1);
         b.settle(1, 1);
         b.arrive(1, kWrite);
         b.step();
         b.end(1, 1, Outcome::reset, Role::unknown, 0);
         b.step();
-        EXPECT_EQ(cause(b, 1), Cause::may_not_repeat);
+        EXPECT_EQ(cause(b, 1), RejectionReason::not_retryable);
         b.arrive(2, kWrite);
         b.step();
         b.now += 1'000'000;
         b.end(2, 1, Outcome::timeout, Role::unknown, 0);
         b.step();
-        EXPECT_EQ(cause(b, 2), Cause::out_of_time);
+        EXPECT_EQ(cause(b, 2), RejectionReason::deadline_exceeded);
     }
     {
         Bench b(base(), 2);
@@ -1106,7 +1116,7 @@
             b.end(1, *to, Outcome::error, Role::unknown, 0);
             b.step();
         }
-        EXPECT_EQ(cause(b, 1), Cause::failing);
+        EXPECT_EQ(cause(b, 1), RejectionReason::repeated_error);
     }
 }
 
@@ -1114,26 +1124,27 @@
 // again as soon as one of the zone's members answers a probe.
 TEST(Zones, ASilentOneIsLeftAloneUntilAProbeIsAnswered) {
     auto s = base();
-    s.routers = 300, s.may_probe = s.second_copies = true;
+    s.router_count = 300, s.health_checks_allowed = s.hedging_allowed = true;
     Bench b(s, 0);
-    std::vector<ServerEntry> list;
-    for (ServerId id = 1; id <= 40; ++id) {
+    std::vector<EndpointEntry> list;
+    for (EndpointId id = 1; id <= 40; ++id) {
         list.push_back(Bench::entry(id));
         list.back().zone = id % 2;  // those of odd numbers, the primary with them, fall silent
     }
-    b.tell(ListKind::complete, list);
+    b.tell(EndpointListKind::complete, list);
     b.settle(1, 40);
     RequestId id = 0;
-    std::map<RequestId, ServerId> out;
+    std::map<RequestId, EndpointId> out;
     bool copied = false, kept = false, probed = false;
     const auto look = [&] {
         for (const auto& a : b.actions) {
-            if (const auto* x = std::get_if<Send>(&a)) {
-                copied = copied || (out.count(x->request) && x->server % 2 == 0);
-                out[x->request] = x->server;
+            if (const auto* x = std::get_if<Forward>(&a)) {
+                copied = copied || (out.count(x->request) && x->endpoint % 2 == 0);
+                out[x->request] = x->endpoint;
             }
             if (const auto* x = std::get_if<Log>(&a)) kept = kept || x->text == "zone silent: 1";
-            if (const auto* x = std::get_if<Probe>(&a)) probed = probed || (kept && x->server % 2 == 1);
+            if (const auto* x = std::get_if<StartHealthCheck>(&a))
+                probed = probed || (kept && x->endpoint % 2 == 1);
         }
         auto mine = std::move(out);
         out.clear();
@@ -1155,17 +1166,17 @@
         if (i % 4 == 0) b.arrive(++id, kAny);
         b.tick();
         for (const auto& a : b.actions) {
-            const auto* x = std::get_if<Send>(&a);
-            EXPECT_FALSE(x && x->server % 2 == 1) << "sent into a silent zone";
+            const auto* x = std::get_if<Forward>(&a);
+            EXPECT_FALSE(x && x->endpoint % 2 == 1) << "sent into a silent zone";
         }
-        EXPECT_FALSE(i < 100 && b.find<Refuse>(write)) << "a write waits as for any lost primary";
+        EXPECT_FALSE(i < 100 && b.find<Reject>(write)) << "a write waits as for any lost primary";
         look();
     }
     EXPECT_TRUE(probed);
     b.report(3, Role::replica, b.now);
     b.arrive(++id, kWrite);
     b.step();
-    EXPECT_EQ(b.sent_to(id), std::optional<ServerId>(1));
+    EXPECT_EQ(b.sent_to(id), std::optional<EndpointId>(1));
 }
 
 // A hung member is found by two requests, not by one that may merely wait behind others' work.
@@ -1175,31 +1186,31 @@
     b.arrive(1, kWrite);
     b.step();
     for (int i = 0; i < 190; ++i) b.tick();
-    EXPECT_EQ(b.router.avoided(), 0u);
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 0u);
     b.arrive(2, kAny);
     b.step();
     for (int i = 0; i < 100; ++i) b.tick();
-    EXPECT_EQ(b.router.avoided(), 1u);
+    EXPECT_EQ(b.router.ejected_endpoint_count(), 1u);
 }
 
 // A router of 300 uses some of a group's members first: the others where none of those is new enough, and new
 // ones as soon as they replace those that leave.
 TEST(Zones, ASubsetIsWidenedWhereItWillNotDo) {
     auto s = base();
-    s.routers = 300, s.rank = 17, s.position_check = PositionCheck::refuse;
+    s.router_count = 300, s.router_index = 17, s.position_check = PositionCheck::reject;
     Bench b(s, 0);
-    const auto list_of = [](ServerId from) {
-        std::vector<ServerEntry> list;
-        for (ServerId id = from; id < from + 6; ++id) list.push_back(Bench::entry(id));
+    const auto list_of = [](EndpointId from) {
+        std::vector<EndpointEntry> list;
+        for (EndpointId id = from; id < from + 6; ++id) list.push_back(Bench::entry(id));
         return list;
     };
-    b.tell(ListKind::complete, list_of(1));
+    b.tell(EndpointListKind::complete, list_of(1));
     b.step();
-    std::set<ServerId> first;
-    const auto reads = [&](RequestId from, int klass) {
-        std::set<ServerId> used;
+    std::set<EndpointId> first;
+    const auto reads = [&](RequestId from, int request_class) {
+        std::set<EndpointId> used;
         for (RequestId id = from; id < from + 40; ++id) {
-            b.arrive(id, klass);
+            b.arrive(id, request_class);
             b.step(100'000);
             const auto to = b.sent_to(id);
             EXPECT_TRUE(to.has_value()) << id;
@@ -1217,7 +1228,7 @@
     const auto others = reads(100, kBounded);
     EXPECT_EQ(others.size(), 3u);
     for (const auto id : others) EXPECT_EQ(first.count(id), 0u);
-    b.tell(ListKind::complete, list_of(11));
+    b.tell(EndpointListKind::complete, list_of(11));
     b.step();
     const auto fresh = reads(200, kAny);
     EXPECT_EQ(fresh.size(), 3u);
@@ -1226,46 +1237,46 @@
 
 // `known` may be older than anything: a read that must be new is not sent to who was a primary then, before
 // it has said that it is one. Where members check reads themselves nobody waits.
-TEST(Comeback, APrimaryThatOnlyAnOldListNamesServesNoReadThatMustBeNew) {
-    for (const auto check : {PositionCheck::none, PositionCheck::refuse})
-        for (const int klass : {kBounded, kSession, kFresh}) {
+TEST(StartupPhase, APrimaryThatOnlyAnOldListNamesServesNoReadThatMustBeNew) {
+    for (const auto check : {PositionCheck::none, PositionCheck::reject})
+        for (const int request_class : {kBounded, kSession, kFresh}) {
             auto s = base();
-            s.may_probe = s.probes_report = true;
+            s.health_checks_allowed = s.health_checks_report_status = true;
             s.position_check = check;
             s.listed_role = ListedRole::delayed;
             Bench b(s, 0);
             auto old = Bench::entry(1);
             old.listed_primary = true;
-            b.tell(ListKind::cached, {old, Bench::entry(2)});
+            b.tell(EndpointListKind::cached, {old, Bench::entry(2)});
             b.step();
-            b.arrive(1, klass);
+            b.arrive(1, request_class);
             b.step();
-            EXPECT_EQ(b.sent_to(1).has_value(), check != PositionCheck::none) << klass;
+            EXPECT_EQ(b.sent_to(1).has_value(), check != PositionCheck::none) << request_class;
             if (check != PositionCheck::none) continue;
             b.report(1, Role::replica, b.now - 5'000'000);
             b.tick();
             EXPECT_FALSE(b.sent_to(1)) << "it has been deposed meanwhile";
             b.report(2, Role::primary, b.now);
             b.tick();
-            EXPECT_EQ(b.sent_to(1), std::optional<ServerId>(2)) << klass;
+            EXPECT_EQ(b.sent_to(1), std::optional<EndpointId>(2)) << request_class;
         }
 }
 
 // A probe that is lost is sent again while a request waits for it; then its own word is enough.
-TEST(Comeback, AListedPrimaryIsAskedUntilItSaysThatItIsOne) {
+TEST(StartupPhase, AListedPrimaryIsAskedUntilItSaysThatItIsOne) {
     auto s = base();
-    s.may_probe = s.probes_report = true;
+    s.health_checks_allowed = s.health_checks_report_status = true;
     s.listed_role = ListedRole::delayed;
     Bench b(s, 0);
     auto first = Bench::entry(1);
     first.listed_primary = true;
-    b.tell(ListKind::cached, {first});
+    b.tell(EndpointListKind::cached, {first});
     b.step();
     int probes = 0;
     for (int i = 0; i < 100; ++i) {
         b.arrive(static_cast<RequestId>(i + 1), kBounded);
         b.tick(10'000);
-        for (const auto& a : b.actions) probes += std::holds_alternative<Probe>(a);
+        for (const auto& a : b.actions) probes += std::holds_alternative<StartHealthCheck>(a);
         EXPECT_FALSE(b.sent_to(static_cast<RequestId>(i + 1)));
     }
     EXPECT_GE(probes, 3);
@@ -1273,14 +1284,14 @@
     b.report(1, Role::primary, b.now);
     b.arrive(200, kBounded);
     b.step();
-    EXPECT_EQ(b.sent_to(200), std::optional<ServerId>(1));
+    EXPECT_EQ(b.sent_to(200), std::optional<EndpointId>(1));
 }
 
 // A member that answers at once, but with errors, is no good member; nor is one that turns requests away.
 TEST(Health, ErrorsAndRefusalsCountAsSlowAnswers) {
-    for (const auto bad : {Outcome::error, Outcome::full}) {
+    for (const auto bad : {Outcome::error, Outcome::overloaded}) {
         auto s = base();
-        s.routers = 300, s.max_attempts = 1;
+        s.router_count = 300, s.max_attempts = 1;
         Bench b(s, 3);
         b.settle(1);
         int at_bad = 0, sent = 0;
--- a/tests/decision/zone_health_test.cpp
+++ b/tests/decision/zone_health_test.cpp
@@ -17,15 +17,15 @@
 struct Watched {
     ZoneHealth health;
     Time now = 10'000'000;
-    std::vector<ZoneHealth::Waiting> out;
+    std::vector<ZoneHealth::PendingAttempt> out;
 
     Watched() {
-        for (int zone = 0; zone < 3; ++zone) health.answered(now, zone);
+        for (int zone = 0; zone < 3; ++zone) health.on_answer(now, zone);
     }
-    void send(int zone, ServerId server) { out.push_back({zone, server, now, kUsual}); }
+    void send(int zone, EndpointId server) { out.push_back({zone, server, now, kUsual}); }
     std::vector<int> after(Micros later) {
         now += later;
-        return health.judge(now, out);
+        return health.find_newly_silent(now, out);
     }
 };
 
@@ -34,13 +34,13 @@
 TEST(ZoneHealth, AZoneCutOffIsBelievedAfterAHandfulOfAttemptsAtAnyOfItsMembers) {
     Watched w;
     for (int i = 1; i <= 5; ++i) {
-        w.send(1, static_cast<ServerId>(i));
-        w.health.answered(w.now, 0);
+        w.send(1, static_cast<EndpointId>(i));
+        w.health.on_answer(w.now, 0);
         const auto fallen = w.after(100'000);
         if (fallen.empty()) continue;
         EXPECT_EQ(fallen, std::vector<int>{1});
-        EXPECT_TRUE(w.health.silent(1));
-        EXPECT_FALSE(w.health.silent(0));
+        EXPECT_TRUE(w.health.is_silent(1));
+        EXPECT_FALSE(w.health.is_silent(0));
         EXPECT_TRUE(w.after(1'000'000).empty()) << "told once";
         return;
     }
@@ -52,12 +52,12 @@
     for (const int slower : {4, 12}) {
         Watched w;
         for (int i = 1; i <= 200; ++i) {
-            w.out.push_back({1, static_cast<ServerId>(i % 10), w.now, slower > 4 ? kUsual * 5 : kUsual});
-            w.health.answered(w.now, 0);
+            w.out.push_back({1, static_cast<EndpointId>(i % 10), w.now, slower > 4 ? kUsual * 5 : kUsual});
+            w.health.on_answer(w.now, 0);
             EXPECT_TRUE(w.after(100'000).empty()) << slower << " x, attempt " << i;
-            if (w.now - w.out.front().since < slower * us(kUsual)) continue;
+            if (w.now - w.out.front().sent_at < slower * us(kUsual)) continue;
             w.out.erase(w.out.begin());
-            EXPECT_FALSE(w.health.answered(w.now, 1));
+            EXPECT_FALSE(w.health.on_answer(w.now, 1));
         }
     }
 }
@@ -66,8 +66,8 @@
     Watched w;
     for (int i = 0; i < 20; ++i) {
         w.send(1, 7);
-        w.health.unanswered(w.now, 1, 7, 600'000, kUsual);
-        w.health.answered(w.now, 0);
+        w.health.on_timeout(w.now, 1, 7, 600'000, kUsual);
+        w.health.on_answer(w.now, 0);
         EXPECT_TRUE(w.after(100'000).empty());
     }
 }
@@ -76,9 +76,9 @@
 // believed.
 TEST(ZoneHealth, ARouterThatHearsNobodyCondemnsNobody) {
     Watched w;
-    for (ServerId id = 1; id <= 30; ++id) w.send(static_cast<int>(id % 3), id);
+    for (EndpointId id = 1; id <= 30; ++id) w.send(static_cast<int>(id % 3), id);
     EXPECT_TRUE(w.after(5'000'000).empty());
-    w.health.answered(w.now, 0);
+    w.health.on_answer(w.now, 0);
     w.out.erase(std::remove_if(w.out.begin(), w.out.end(), [](const auto& o) { return o.zone == 0; }),
                 w.out.end());
     EXPECT_EQ(w.after(100'000), (std::vector<int>{1, 2}));
@@ -86,18 +86,18 @@
 
 TEST(ZoneHealth, LossesAgeAndAnAnswerEndsTheSilence) {
     Watched w;
-    w.health.unanswered(w.now, 1, 1, 200'000, kUsual);
-    w.health.unanswered(w.now, 1, 2, 200'000, kUsual);
+    w.health.on_timeout(w.now, 1, 1, 200'000, kUsual);
+    w.health.on_timeout(w.now, 1, 2, 200'000, kUsual);
     w.now += 20'000'000;
     w.send(1, 3);
-    w.health.answered(w.now, 0);
+    w.health.on_answer(w.now, 0);
     EXPECT_TRUE(w.after(300'000).empty()) << "8 + 6 usual latencies, but the 8 are long past";
-    for (ServerId id = 4; id < 8; ++id) w.send(1, id);
-    w.health.answered(w.now, 0);
+    for (EndpointId id = 4; id < 8; ++id) w.send(1, id);
+    w.health.on_answer(w.now, 0);
     EXPECT_EQ(w.after(300'000), std::vector<int>{1});
-    EXPECT_TRUE(w.health.answered(w.now, 1));
-    EXPECT_FALSE(w.health.silent(1));
-    EXPECT_FALSE(w.health.answered(w.now, 1));
+    EXPECT_TRUE(w.health.on_answer(w.now, 1));
+    EXPECT_FALSE(w.health.is_silent(1));
+    EXPECT_FALSE(w.health.on_answer(w.now, 1));
 }
 
 // Summed over 3, 100 and 300 routers the trials of a silent zone keep to one every 3 ms, or to four a second
@@ -110,11 +110,13 @@
         for (int i = 0; i < routers; ++i) {
             Watched w;
             w.send(1, 1), w.send(1, 2);
-            w.health.answered(w.now + 400'000, 0);
+            w.health.on_answer(w.now + 400'000, 0);
             ASSERT_EQ(w.after(500'000), std::vector<int>{1});
-            EXPECT_TRUE(w.health.trials(w.now, routers, draw(random)).empty()) << "a pause comes first";
+            EXPECT_TRUE(w.health.due_health_checks(w.now, routers, draw(random)).empty())
+                << "a pause comes first";
             for (int ms = 5; ms <= 10'000; ms += 5)
-                asked += static_cast<int>(w.health.trials(w.now + ms * 1000, routers, draw(random)).size());
+                asked += static_cast<int>(
+                    w.health.due_health_checks(w.now + ms * 1000, routers, draw(random)).size());
         }
         const double budget = 10e6 / std::max(250'000.0 / routers, 3'000.0);
         EXPECT_LT(asked, 1.1 * budget) << routers;
--- a/tests/emulator/emulator_test.cpp
+++ b/tests/emulator/emulator_test.cpp
@@ -110,7 +110,7 @@
 Event run(const std::string& id, const std::string& key = {}) {
     auto e = event(What::ran, id);
     e.key = key;
-    e.klass = 0;
+    e.request_class = 0;
     e.until = e.position = kNow;
     e.value = 7;
     return e;
@@ -222,9 +222,9 @@
     EXPECT_TRUE(judged({old}).empty());
     --old.position;
     EXPECT_TRUE(says({old}, "ms old"));
-    old.klass = 1;  // any age will do
+    old.request_class = 1;  // any age will do
     EXPECT_TRUE(judged({old}).empty());
-    old.klass = 0;
+    old.request_class = 0;
     old.deposed = true;
     EXPECT_TRUE(judged({old}).empty());
     EXPECT_TRUE(says({of_member(What::fell, 0, 3, kNow)}, "pushed over"));
@@ -232,8 +232,8 @@
 
 // A write that is answered is seen by each read of its session that is asked from then on, through any proxy.
 TEST(Checker, ASessionReadsWhatItHasWritten) {
-    const auto of_session = [](Event e, int klass, Time position = 0) {
-        e.klass = klass;
+    const auto of_session = [](Event e, int request_class, Time position = 0) {
+        e.request_class = request_class;
         if (e.what == What::asked) e.key = "s";
         e.position = position;
         return e;
@@ -346,7 +346,7 @@
 
 TEST(Values, StatementsAndValuesAgree) {
     Question q;
-    q.klass = 2;
+    q.request_class = 2;
     q.id = "1";
     q.code = "c";
     q.key = "k";
--- a/tests/fault_harness/tally_test.cpp
+++ b/tests/fault_harness/tally_test.cpp
@@ -24,7 +24,7 @@
 Event answered(int proxy, Micros came, Micros takes, const std::string& word = "served", bool last = true) {
     auto e = event(What::answered, proxy, came + takes, word);
     e.since = kBegins + came;
-    e.klass = 1;
+    e.request_class = 1;
     e.last = last;
     return e;
 }
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -13,17 +13,17 @@
 constexpr Point kPoints[] = {Point::resting,    Point::half_sent, Point::unread,
                              Point::connecting, Point::waiting,   Point::half_answered};
 
-void bring_to(World& w, Point point, const char* klass) {
+void bring_to(World& w, Point point, const char* request_class) {
     w.open_watch();
     w.connect();
     if (point == Point::connecting) w.members_greet = false;
     if (point == Point::resting) {
-        w.ask_and_serve(klass);
+        w.ask_and_serve(request_class);
         w.clock.at += 50'000;  // the link has rested
         w.turns();
         return;
     }
-    const auto request = w.request(klass);
+    const auto request = w.request(request_class);
     if (point == Point::half_sent) {
         w.client.send(request.substr(0, request.size() / 2));
         --w.asked;  // none that is whole
@@ -61,7 +61,7 @@
                              Event::member_resets, Event::drain,  Event::watch_resets, Event::sighup,
                              Event::sigterm,       Event::time};
 
-void happen(World& w, Event event, const char* klass) {
+void happen(World& w, Event event, const char* request_class) {
     switch (event) {
         case Event::closes:
             return w.client.close();
@@ -72,7 +72,7 @@
         case Event::cancels:
             return w.cancel();
         case Event::asks_again:
-            return w.ask(klass);
+            return w.ask(request_class);
         case Event::sends_rubbish:
             return void(w.client.send(std::string(40'000, '\xff')));
         case Event::answer:
@@ -111,10 +111,10 @@
 struct Case {
     Point point;
     Event a, b;
-    Class klass;
+    Class request_class;
     bool has(Event e) const { return a == e || b == e; }
     std::string what() const {
-        return std::string(klass.name) + ", " + name(point) + ": " + name(a) + ", " + name(b);
+        return std::string(request_class.name) + ", " + name(point) + ": " + name(a) + ", " + name(b);
     }
 };
 
@@ -147,7 +147,7 @@
         const bool gone = left || (c.has(Event::cancels) && q.id == "r1");
         EXPECT_TRUE(!gone || q.at - at <= kGone) << q.id << " was sent on after its client had gone";
     }
-    const std::string effect = c.klass.effect;
+    const std::string effect = c.request_class.effect;
     for (const auto& [id, of] : sent) {
         EXPECT_TRUE(effect != "non_idempotent" || of.size() == 1) << id << " may have run twice";
         EXPECT_TRUE(effect != "idempotency_key" || of.back().at - of.front().at < kWindow)
@@ -158,10 +158,10 @@
 void play(const Case& c) {
     SCOPED_TRACE(c.what());
     World w;
-    bring_to(w, c.point, c.klass.name);
+    bring_to(w, c.point, c.request_class.name);
     if (testing::Test::HasFatalFailure()) return;
-    happen(w, c.a, c.klass.name);
-    happen(w, c.b, c.klass.name);
+    happen(w, c.a, c.request_class.name);
+    happen(w, c.b, c.request_class.name);
     const Time done = w.clock.at;
     w.look();
     const auto before = w.queries.size();
@@ -186,10 +186,10 @@
 class Crossings : public testing::TestWithParam<Point> {};
 
 TEST_P(Crossings, OfAnyTwoEventsBreakNoRule) {
-    for (const auto& klass : kClasses)
+    for (const auto& request_class : kClasses)
         for (const auto a : kEvents)
             for (const auto b : kEvents)
-                if (a != b) play({GetParam(), a, b, klass});
+                if (a != b) play({GetParam(), a, b, request_class});
 }
 
 INSTANTIATE_TEST_SUITE_P(AtEachPoint, Crossings, testing::ValuesIn(kPoints));
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -34,7 +34,7 @@
 constexpr auto kHopeless = std::chrono::seconds(60);  // only a hang takes this long
 
 json usual_settings() {
-    const auto klass = [](const char* name, const char* effect) {
+    const auto request_class = [](const char* name, const char* effect) {
         return json{{"name", name},
                     {"effect", effect},
                     {"group", "cell"},
@@ -44,7 +44,7 @@
                     {"deadline-us", 1e8},
                     {"late-worth", 0}};
     };
-    return {{"classes", {klass("view", "read_like"), klass("change", "idempotency_key")}},
+    return {{"classes", {request_class("view", "read_like"), request_class("change", "idempotency_key")}},
             {"discovery", "on_request"},
             {"azs", {"here"}},
             {"specifics",
--- a/tests/net/stages_test.cpp
+++ b/tests/net/stages_test.cpp
@@ -234,7 +234,7 @@
         World w;
         w.open_watch();
         w.connect();
-        for (const auto* klass : {"glance", "glance", other, "glance"}) w.ask(klass);
+        for (const auto* request_class : {"glance", "glance", other, "glance"}) w.ask(request_class);
         const auto asked = [&w] {
             std::set<std::string> out;
             for (const auto& q : w.queries) out.insert(q.id);
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -12,15 +12,15 @@
 
 using namespace sloestack;
 using loopback::Listening;
-using sloestack::decision::Calls;
-using sloestack::decision::ListKind;
+using sloestack::decision::EndpointListKind;
+using sloestack::decision::PollBackoff;
 
 constexpr double kHighest = 0.999'999'9;  // of a draw
 
 sloestack::decision::Settings settings(int routers) {
     sloestack::decision::Settings out;
-    out.routers = routers;
-    out.list_on_request = true;
+    out.router_count = routers;
+    out.discovery_is_polled = true;
     return out;
 }
 
@@ -47,19 +47,20 @@
     explicit World(int routers)
         : calls_(settings(routers)),
           watch_(loop_, deadlines_, loopback::address(discovery_.port), "d", lists_, std::nullopt, *this,
-                 sloestack::decision::CallTimes(settings(routers), 7)) {
+                 sloestack::decision::PollTimeouts(settings(routers), 7)) {
         watch_.start();
     }
 
-    void call_failed(const sloestack::decision::FailedCall& call) override {
+    void call_failed(const sloestack::decision::FailedPoll& call) override {
         ++failures;
         // As the decision module does, with the longest draw.
-        again_.set(deadlines_, clock.at + calls_.failed(call, kHighest), [this] { watch_.start(); });
+        again_.set(deadlines_, clock.at + calls_.delay_after_failure(call, kHighest),
+                   [this] { watch_.start(); });
     }
-    void listed(ListKind, std::vector<traffic::Entry> entries) override {
-        calls_.told();
+    void listed(EndpointListKind, std::vector<traffic::Entry> entries) override {
+        calls_.on_list_received();
         for (const auto& e : entries) {
-            state = e.server.state;
+            state = e.endpoint.state;
             told_at = clock.at;
         }
     }
@@ -119,7 +120,7 @@
 
     loopback::ManualClock clock;
     int failures = 0;
-    std::optional<sloestack::decision::ServerState> state;  // of the one member, as told last
+    std::optional<sloestack::decision::EndpointState> state;  // of the one member, as told last
     Time told_at = 0;
     Listening discovery_;
     discovery::Watch& watch() { return watch_; }
@@ -140,7 +141,7 @@
 
     net::Loop loop_;
     Deadlines deadlines_{clock};
-    Calls calls_;
+    PollBackoff calls_;
     discovery::Reader lists_{{"a"}};
     discovery::Watch watch_;
     Deadline again_;
@@ -159,8 +160,8 @@
 
 void tell_of_the_drain(World& w, Time changed_at, const std::string& what) {
     w.answer(whole(list(9, "terminating", false)));
-    EXPECT_TRUE(w.until([&] { return w.state == sloestack::decision::ServerState::draining; })) << what;
-    EXPECT_LT(w.told_at - changed_at, Calls::kToldBy) << what;
+    EXPECT_TRUE(w.until([&] { return w.state == sloestack::decision::EndpointState::draining; })) << what;
+    EXPECT_LT(w.told_at - changed_at, PollBackoff::kNotificationBound) << what;
 }
 
 // A member begins to drain in the moment in which the watch falls silent.
@@ -188,13 +189,14 @@
             ASSERT_FALSE(w.next_call().empty()) << what;
             w.meet(fate);
             ASSERT_FALSE(w.next_call().empty()) << what;
-            EXPECT_EQ(w.state, sloestack::decision::ServerState::ready) << what << ": the old list stays";
+            EXPECT_EQ(w.state, sloestack::decision::EndpointState::ready) << what << ": the old list stays";
             EXPECT_EQ(w.failures, 1) << what;
             tell_of_the_drain(w, changed_at, what);
         }
 }
 
-// Calls have failed for long, so that the back-off is at its longest; discovery is there again as one is out.
+// PollBackoff have failed for long, so that the back-off is at its longest; discovery is there again as one
+// is out.
 TEST(Watch, AfterALongOutageTheNextListIsKnownInTime) {
     for (const int routers : {3, 300, 1000})
         for (const auto fate : kFates) {
@@ -210,7 +212,7 @@
             const Time back_at = w.clock.at;
             w.meet(fate);
             ASSERT_FALSE(w.next_call().empty()) << what;
-            EXPECT_EQ(w.state, sloestack::decision::ServerState::ready) << what;
+            EXPECT_EQ(w.state, sloestack::decision::EndpointState::ready) << what;
             tell_of_the_drain(w, back_at, what);
         }
 }
@@ -240,7 +242,7 @@
     ASSERT_TRUE(
         w.until([&] { return other.look(), !other.peers.empty() && !other.peers.front().in.empty(); }));
     EXPECT_EQ(other.peers.front().in.find("GET /registry/instances HTTP"), 0u) << "the whole list";
-    EXPECT_EQ(w.state, sloestack::decision::ServerState::ready);
+    EXPECT_EQ(w.state, sloestack::decision::EndpointState::ready);
     other.peers.front().send(whole(list(2, "in_service")));
     ASSERT_TRUE(w.until([&] {
         other.look();
@@ -255,7 +257,7 @@
     World w(3);
     bring_to_a_held_call(w);
     w.answer(whole(list(8, "terminating", false)));
-    ASSERT_TRUE(w.until([&] { return w.state == sloestack::decision::ServerState::draining; }));
+    ASSERT_TRUE(w.until([&] { return w.state == sloestack::decision::EndpointState::draining; }));
     Listening other;
     const auto tell = [&](const std::string& said, const char* next) {
         other.peers.front().in.clear();
@@ -266,9 +268,9 @@
     ASSERT_TRUE(
         w.until([&] { return other.look(), !other.peers.empty() && !other.peers.front().in.empty(); }));
     ASSERT_TRUE(tell(list(2, "in_service"), "after=2&"));
-    EXPECT_EQ(w.state, sloestack::decision::ServerState::draining);
+    EXPECT_EQ(w.state, sloestack::decision::EndpointState::draining);
     ASSERT_TRUE(tell(list(3, "in_service", false), "after=3&"));
-    EXPECT_EQ(w.state, sloestack::decision::ServerState::ready) << "a change is news";
+    EXPECT_EQ(w.state, sloestack::decision::EndpointState::ready) << "a change is news";
 }
 
 // Twice in a row, with the first one's call still out: the last address counts.
@@ -282,7 +284,7 @@
     ASSERT_TRUE(
         w.until([&] { return third.look(), !third.peers.empty() && !third.peers.front().in.empty(); }));
     third.peers.front().send(whole(list(1, "terminating")));
-    EXPECT_TRUE(w.until([&] { return w.state == sloestack::decision::ServerState::draining; }));
+    EXPECT_TRUE(w.until([&] { return w.state == sloestack::decision::EndpointState::draining; }));
 }
 
 }  // namespace
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -87,20 +87,20 @@
         client.send(text([](auto& b) { b.startup("u", "d"); }));
         await([this] { return ready() == 1; });
     }
-    void ask(const char* klass) {
-        const auto statement = request(klass);
+    void ask(const char* request_class) {
+        const auto statement = request(request_class);
         if (!client.send(statement)) --asked;  // it has ended its own side
     }
-    std::string request(const char* klass, Micros deadline = kDeadline) {
+    std::string request(const char* request_class, Micros deadline = kDeadline) {
         const auto id = "r" + std::to_string(++asked);
         return text([&](auto& b) {
-            b.query("SELECT data FROM facts WHERE code = 'x' /* id=" + id + ",c=" + klass +
+            b.query("SELECT data FROM facts WHERE code = 'x' /* id=" + id + ",c=" + request_class +
                     ",d=" + std::to_string(deadline / 1000) + ",k=" + id + ",cluster=0 */");
         });
     }
     // Asks the client's first request and has it served.
-    void ask_and_serve(const char* klass) {
-        ask(klass);
+    void ask_and_serve(const char* request_class) {
+        ask(request_class);
         await([this] { return !queries.empty(); });
         answer_all();
         await([this] { return answers() == 1; });
--- a/tests/parser_tests.cpp
+++ b/tests/parser_tests.cpp
@@ -47,7 +47,7 @@
         "SELECT data FROM facts WHERE code = '7f/*' "
         "/* id=9b,c=view,d=480,k=5c,cluster=2,after=1767225600123,r=1 */";
     const auto t = pgwire::read_tags(good);
-    CHECK(t.id == "9b" && t.klass == "view" && t.left_ms == 480 && t.cluster == 2 && t.repeat);
+    CHECK(t.id == "9b" && t.request_class == "view" && t.left_ms == 480 && t.cluster == 2 && t.repeat);
     CHECK(t.quoted == "7f/*" && t.key == "5c" && t.after_ms == 1767225600123);
     const traffic::Statement s{good, t.left_at, t.left_size};
     CHECK(s.with_time_left(12'345) == std::string(good).replace(good.find("480"), 3, "12"));
@@ -148,41 +148,45 @@
 // What a follower of the list reads, as NAME and state.
 struct Follower final : traffic::ListReader {
     std::map<std::string, traffic::Entry> now;
-    void listed(sloestack::decision::ListKind, std::vector<traffic::Entry> entries) override {
+    void listed(sloestack::decision::EndpointListKind, std::vector<traffic::Entry> entries) override {
         for (auto& e : entries) now[e.name] = e;
     }
-    void call_failed(const sloestack::decision::FailedCall&) override {}
-    sloestack::decision::ServerState of(const std::string& name) const { return now.at(name).server.state; }
+    void call_failed(const sloestack::decision::FailedPoll&) override {}
+    sloestack::decision::EndpointState of(const std::string& name) const {
+        return now.at(name).endpoint.state;
+    }
 };
 
 void banned() {
-    using sloestack::decision::ListKind;
-    using sloestack::decision::ServerState;
-    const auto entry = [](const char* name, ServerState state, sloestack::decision::Time started = 0) {
+    using sloestack::decision::EndpointListKind;
+    using sloestack::decision::EndpointState;
+    const auto entry = [](const char* name, EndpointState state, sloestack::decision::Time started = 0) {
         traffic::Entry e;
         e.name = name;
-        e.server.state = state;
-        e.server.started_at = started;
+        e.endpoint.state = state;
+        e.endpoint.started_at = started;
         return e;
     };
     Follower follower;
     exclusions::Bans bans(follower);
     // Banned before it is listed at all, as after an upgrade: what is known from the start is laid over too.
     bans.ban("a");
-    bans.listed(ListKind::cached, {entry("a", ServerState::ready), entry("b", ServerState::ready)});
-    CHECK(follower.of("a") == ServerState::draining && follower.of("b") == ServerState::ready);
+    bans.listed(EndpointListKind::cached,
+                {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
+    CHECK(follower.of("a") == EndpointState::draining && follower.of("b") == EndpointState::ready);
     CHECK(bans.listed_members() == 2 && bans.listed_and_banned() == 1);
-    bans.listed(ListKind::changes, {entry("a", ServerState::gone)});
-    CHECK(follower.of("a") == ServerState::gone && bans.listed_and_banned() == 0);
-    bans.listed(ListKind::changes, {entry("a", ServerState::ready, 77)});
-    CHECK(follower.of("a") == ServerState::draining);
+    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::removed)});
+    CHECK(follower.of("a") == EndpointState::removed && bans.listed_and_banned() == 0);
+    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
+    CHECK(follower.of("a") == EndpointState::draining);
     // Discovery's present word comes with the call back, the cold start included.
     bans.lift("a");
-    CHECK(follower.of("a") == ServerState::ready && follower.now.at("a").server.started_at == 77);
+    CHECK(follower.of("a") == EndpointState::ready && follower.now.at("a").endpoint.started_at == 77);
     bans.ban("b");
-    bans.listed(ListKind::complete, {entry("a", ServerState::ready), entry("b", ServerState::draining)});
+    bans.listed(EndpointListKind::complete,
+                {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
     bans.lift("b");
-    CHECK(follower.of("b") == ServerState::draining);
+    CHECK(follower.of("b") == EndpointState::draining);
 }
 
 // One total, first come first served: guards the memory, and large statements against waiting for ever
@@ -214,16 +218,17 @@
     n.answered(1, metrics::Numbers::shed);
     n.answered(-1, metrics::Numbers::errors);
     n.tried(0), n.tried(0), n.tried(2);
-    n.given_up(1, sloestack::decision::Cause::no_primary), n.given_up(2, sloestack::decision::Cause::cold);
+    n.given_up(1, sloestack::decision::RejectionReason::no_primary),
+        n.given_up(2, sloestack::decision::RejectionReason::slow_start);
     n.ended(0, sloestack::decision::Outcome::timeout), n.ended(0, sloestack::decision::Outcome::timeout);
     const auto read = json::parse(n.json({3, 2, 1}));
     CHECK(read["responses"]["view"]["ok"] == 1 && read["responses"]["view"]["errors"] == 0);
     CHECK(read["responses"]["change"]["shed"] == 1 && read["responses"]["change"]["tries"] == 0);
     CHECK(read["tries"] == 2 && read["active"] == 3 && read["pool_size"] == 2 && read["pool_ejected"] == 1);
     CHECK(read["reasons"]["change"]["no_primary"] == 1 && read["reasons"]["view"]["no_primary"] == 0);
-    CHECK(read["reasons"]["view"].size() == sloestack::decision::kCauses);
+    CHECK(read["reasons"]["view"].size() == sloestack::decision::kRejectionReasonCount);
     CHECK(read["results"]["view"]["timeout"] == 2 && read["results"]["change"]["ok"] == 0);
-    CHECK(read["results"]["view"].size() == sloestack::decision::kOutcomes);
+    CHECK(read["results"]["view"].size() == sloestack::decision::kOutcomeCount);
     CHECK(n.counted() == 7);
 }
 
@@ -256,15 +261,16 @@
           r.answer().value->type == 17);
     CHECK(r.answer().value->binary && r.answer().value->tag == "SELECT 1" &&
           r.answer().value->column == "data");
-    CHECK(r.answer().standing.role == Role::primary && r.answer().standing.position == 1767225600123000);
-    CHECK(r.answer().reported.role == Role::replica && r.answer().reported.position == 1767225600500000);
+    CHECK(r.answer().status.role == Role::primary && r.answer().status.position == 1767225600123000);
+    CHECK(r.answer().reported_status.role == Role::replica &&
+          r.answer().reported_status.position == 1767225600500000);
     // A report that cannot be read in part tells nothing at all.
     for (const char* bad : {"x0=1767225600.5,x1=2", "x0=1767225600.5,,x1=1", "x0=1767225600.5,inflight=-1",
                             "x0=1767225600.5,x1", "x0=1767225600.5,x1=nan", "x0=inf"})
         CHECK(!upstream::read_load(bad).position && upstream::read_load(bad).role == Role::unknown);
-    for (const auto& [code, outcome] : {std::pair{"25006", Outcome::miss},
-                                        {"72000", Outcome::miss},
-                                        {"53300", Outcome::full},
+    for (const auto& [code, outcome] : {std::pair{"25006", Outcome::not_eligible},
+                                        {"72000", Outcome::not_eligible},
+                                        {"53300", Outcome::overloaded},
                                         {"XX000", Outcome::error},
                                         {"08P01", Outcome::error}}) {
         bytes.clear();
@@ -319,10 +325,10 @@
         "locality":"b","flavor":"m2","cell":3,"phase":"terminating","size":1.0,"up_since_ms":12,
         "role":"primary"}]})"));
     CHECK(list.revision == 41 && list.complete && list.members.size() == 1);
-    const auto& s = list.members[0].server;
-    CHECK(s.server == 0x5be2a07c && s.zone == 1 && s.group == 3 && s.started_at == 12'000 &&
+    const auto& s = list.members[0].endpoint;
+    CHECK(s.endpoint == 0x5be2a07c && s.zone == 1 && s.replica_group == 3 && s.started_at == 12'000 &&
           s.listed_primary);
-    CHECK(s.state == sloestack::decision::ServerState::draining &&
+    CHECK(s.state == sloestack::decision::EndpointState::draining &&
           list.members[0].address == "10.1.0.18:5433");
     for (const char* bad : {"", "{}", "[]", R"({"revision":1,"complete":true,"members":[{}]})",
                             R"({"revision":1,"complete":true,"members":[{"id":"x","phase":"odd"}]})",
--- a/tests/record/heard.h
+++ b/tests/record/heard.h
@@ -16,7 +16,7 @@
     void greeted(ConnectionId, Time, const Digest&) override { log.push_back("greeted"); }
     void asked(const Asked& a) override {
         log.push_back("asked " + std::to_string(a.number) + " " + std::string(a.id) + " " +
-                      std::string(a.klass) + " " + std::string(a.key) + " " + std::to_string(a.left) +
+                      std::string(a.request_class) + " " + std::string(a.key) + " " + std::to_string(a.left) +
                       (a.ahead ? " ahead" : "") + (a.repeat ? " repeat" : ""));
     }
     void answered(const Answered& a) override {
