--- /dev/null
+++ b/tests/fleet/exclusions_test.cpp
@@ -0,0 +1,59 @@
+// Members excluded by hand, laid over the endpoint lists of discovery.
+#include "exclusions/exclusions.h"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace {
+
+using namespace sloestack;
+
+// Keeps the last entry heard of each member, by its name.
+struct Follower final : traffic::ListReader {
+    std::map<std::string, traffic::Entry> now;
+    void listed(sloestack::decision::EndpointListKind, std::vector<traffic::Entry> entries) override {
+        for (auto& e : entries) now[e.name] = e;
+    }
+    void call_failed(const sloestack::decision::FailedPoll&) override {}
+    sloestack::decision::EndpointState of(const std::string& name) const {
+        return now.at(name).endpoint.state;
+    }
+};
+
+TEST(Exclusions, OverrideDiscoveryUntilTheyAreLifted) {
+    using sloestack::decision::EndpointListKind;
+    using sloestack::decision::EndpointState;
+    const auto entry = [](const char* name, EndpointState state, sloestack::decision::Time started = 0) {
+        traffic::Entry e;
+        e.name = name;
+        e.endpoint.state = state;
+        e.endpoint.started_at = started;
+        return e;
+    };
+    Follower follower;
+    exclusions::Bans bans(follower);
+    // Banned before it is listed at all, as after an upgrade: what is known from the start is laid over too.
+    bans.ban("a");
+    bans.listed(EndpointListKind::cached,
+                {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
+    ASSERT_TRUE(follower.of("a") == EndpointState::draining && follower.of("b") == EndpointState::ready);
+    ASSERT_TRUE(bans.listed_members() == 2 && bans.listed_and_banned() == 1);
+    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::removed)});
+    ASSERT_TRUE(follower.of("a") == EndpointState::removed && bans.listed_and_banned() == 0);
+    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
+    ASSERT_TRUE(follower.of("a") == EndpointState::draining);
+    // Discovery's present word comes with the call back, the cold start included.
+    bans.lift("a");
+    ASSERT_TRUE(follower.of("a") == EndpointState::ready && follower.now.at("a").endpoint.started_at == 77);
+    bans.ban("b");
+    bans.listed(EndpointListKind::complete,
+                {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
+    bans.lift("b");
+    ASSERT_TRUE(follower.of("b") == EndpointState::draining);
+}
+
+}  // namespace
