--- a/tests/fleet_test.sh
+++ b/tests/fleet_test.sh
@@ -14,7 +14,7 @@
 }
 # count WORD: events of processes with this word.
 count() { grep -c "\"what\":\"process\",\"word\":\"$1\"" "$folder/run/conductor.jsonl"; }
-is() { [ "$2" "$3" "$4" ] || { cat "$folder/report"; fail "$1: $2 $3 $4 does not hold"; }; }
+is() { test "$2" "$3" "$4" || { cat "$folder/report"; fail "$1: $2 $3 $4 does not hold"; }; }
 number() { sed -n "s/^  \"$1\": \([0-9]*\),*$/\1/p" "$folder/report"; }
 # served LEAST WHO: of the answers on standard input, so many at least, all but one in a hundred are served.
 served() {
