--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -131,7 +131,7 @@
 // ---- the processes of one proxy ----
 // The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
 void Server::begin() {
-    bans_.listed(decision::EndpointListKind::cached, std::move(known_.members));
+    bans_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.members));
     begun_ = true;
     proxy_.turn();
     if (!waits_for_list_) client_listener_->open();
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -32,7 +32,7 @@
     bool over() const { return client_listener_->over(); }
     // Whether a list is held and clients are accepted.
     bool ready() const override {
-        return proxy_.able_to_serve() && client_listener_ && client_listener_->accepting();
+        return proxy_.has_ready_endpoints() && client_listener_ && client_listener_->accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
     std::uint16_t control_port() const { return control_->port(); }  // where there is such a door
--- a/src/core/dispatch_loop/dispatch_loop.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -40,7 +40,7 @@
 }
 
 // ---- events ----
-traffic::RequestId Proxy::take(traffic::Request request, traffic::ResponseSink& sink) {
+traffic::RequestId Proxy::submit(traffic::Request request, traffic::ResponseSink& sink) {
     const auto id = request.arrival.request = ++last_;
     auto& open = open_[id];
     open.sink = &sink;
@@ -52,42 +52,42 @@
     return id;
 }
 
-void Proxy::withdraw(traffic::RequestId request) {
+void Proxy::cancel_request(traffic::RequestId request) {
     const auto found = open_.find(request);
     const int started = found == open_.end() ? -1 : found->second.started;
     if (!close(request)) return;
     // Of a begun answer the module knows no more: who leaves ends it here.
     if (started >= 0)
-        hands_->members.cancel(request, started);
+        hands_->members.cancel_attempt(request, started);
     else
         events_.emplace_back(decision::ClientDisconnected{request});
 }
 
-bool Proxy::still_wanted(traffic::RequestId request) {
+bool Proxy::is_request_active(traffic::RequestId request) {
     const auto found = open_.find(request);
     if (found == open_.end() || !found->second.sink) return false;
-    if (!found->second.sink->has_left()) return deadlines_.now() < found->second.deadline;
-    withdraw(request);
+    if (!found->second.sink->client_disconnected()) return deadlines_.now() < found->second.deadline;
+    cancel_request(request);
     return false;
 }
 
-bool Proxy::answer_started(const decision::AnswerStarted& start, const traffic::Value& head, std::size_t size,
-                           traffic::Source& source) {
+bool Proxy::on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
+                              std::size_t size, traffic::ResponseSource& source) {
     const auto found = open_.find(start.request);
     if (found == open_.end() || !found->second.sink || found->second.started >= 0) return false;
     found->second.started = start.attempt;
     found->second.overdue.clear();  // once begun it has no deadline
     events_.emplace_back(start);
-    found->second.sink->begun(head, size, source);
+    found->second.sink->on_value_started(head, size, source);
     return true;
 }
 
-void Proxy::piece(traffic::RequestId request, std::string_view bytes) {
+void Proxy::on_value_chunk(traffic::RequestId request, std::string_view bytes) {
     const auto found = open_.find(request);
-    if (found != open_.end() && found->second.sink) found->second.sink->piece(bytes);
+    if (found != open_.end() && found->second.sink) found->second.sink->on_value_chunk(bytes);
 }
 
-void Proxy::attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::Value> value) {
+void Proxy::on_attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::ResultValue> value) {
     auto event = end;
     SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
     const auto found = open_.find(end.request);
@@ -97,19 +97,19 @@
     if (started >= 0 ? started == end.attempt : value.has_value())
         if (auto* sink = close(end.request)) {
             if (started < 0)
-                sink->served(*value);
+                sink->on_value(*value);
             else if (value)
-                sink->finished(value->tag);
+                sink->on_value_completed(value->command_tag);
             else
-                sink->cut_off();
+                sink->on_value_aborted();
         }
     event.request_ended = found == open_.end() || !found->second.sink;
     events_.emplace_back(event);
 }
 
-void Proxy::probe_ended(const decision::HealthCheckEnded& end) { events_.emplace_back(end); }
+void Proxy::on_health_check_ended(const decision::HealthCheckEnded& end) { events_.emplace_back(end); }
 
-void Proxy::listed(EndpointListKind kind, std::vector<traffic::Entry> entries) {
+void Proxy::on_endpoint_list(EndpointListKind kind, std::vector<traffic::ListedEndpoint> entries) {
     if (kind != EndpointListKind::changes) ready_.clear();
     auto servers = std::make_shared<std::vector<decision::EndpointEntry>>();
     for (const auto& e : entries) {
@@ -125,7 +125,7 @@
     hands_->list_changed(kind, entries);
 }
 
-void Proxy::call_failed(const decision::FailedPoll& call) {
+void Proxy::on_poll_failed(const decision::FailedPoll& call) {
     events_.emplace_back(decision::EndpointList{EndpointListKind::failed, nullptr, call});
 }
 
@@ -163,8 +163,8 @@
     attempt.request_class = open.request_class;
     attempt.endpoint = a.endpoint;
     attempt.statement = open.statement;
-    attempt.give_up_at = a.timeout_us > 0 ? std::min(open.deadline, now + a.timeout_us) : open.deadline;
-    if (a.begin_within_us) attempt.begin_by = now + *a.begin_within_us;
+    attempt.timeout_at = a.timeout_us > 0 ? std::min(open.deadline, now + a.timeout_us) : open.deadline;
+    if (a.begin_within_us) attempt.start_by = now + *a.begin_within_us;
     hands_->members.send(attempt);
 }
 
@@ -175,21 +175,21 @@
 }
 
 void Proxy::act(const decision::Reject& a) {
-    if (auto* sink = give_up(a.request, a.reason)) sink->refused(a.retry_after_us);
+    if (auto* sink = give_up(a.request, a.reason)) sink->on_rejected(a.retry_after_us);
 }
 
 void Proxy::act(const decision::Fail& a) {
-    if (auto* sink = give_up(a.request, a.reason)) sink->failed();
+    if (auto* sink = give_up(a.request, a.reason)) sink->on_failed();
 }
 
-void Proxy::act(const decision::Cancel& a) { hands_->members.cancel(a.request, a.attempt); }
+void Proxy::act(const decision::Cancel& a) { hands_->members.cancel_attempt(a.request, a.attempt); }
 
 void Proxy::act(const decision::SetTimer& a) {
     deadlines_.add(deadlines_.now() + a.delay_us,
                    [this, token = a.token] { events_.emplace_back(decision::TimerFired{token}); });
 }
 
-void Proxy::act(const decision::StartHealthCheck& a) { hands_->members.probe(a.endpoint); }
+void Proxy::act(const decision::StartHealthCheck& a) { hands_->members.start_health_check(a.endpoint); }
 void Proxy::act(const decision::PollDiscovery&) { hands_->watch_list(); }
 void Proxy::act(const decision::Log& a) { log::line("decision", a.text); }
 
@@ -197,7 +197,7 @@
 void Proxy::overdue(traffic::RequestId request) {
     SLOESTACK_INVARIANT(false, "the module answers every request in time");
     events_.emplace_back(decision::ClientDisconnected{request});
-    if (auto* sink = close(request)) sink->failed();
+    if (auto* sink = close(request)) sink->on_failed();
 }
 
 }  // namespace sloestack::dispatch
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -11,18 +11,22 @@
 #include "deadlines/deadlines.h"
 #include "metrics/metrics.h"
 #include "sloestack/router.h"
-#include "traffic/traffic.h"
+#include "traffic/attempt.h"
+#include "traffic/endpoint_list.h"
+#include "traffic/request.h"
 
 namespace sloestack::dispatch {
 
 // What the proxy can act on; named once all of it stands.
 struct Hands {
-    traffic::Members& members;
+    traffic::AttemptSender& members;
     std::function<void()> watch_list;
-    std::function<void(decision::EndpointListKind, const std::vector<traffic::Entry>&)> list_changed;
+    std::function<void(decision::EndpointListKind, const std::vector<traffic::ListedEndpoint>&)> list_changed;
 };
 
-class Proxy final : public traffic::RequestDispatcher, public traffic::Results, public traffic::ListReader {
+class Proxy final : public traffic::RequestDispatcher,
+                    public traffic::AttemptListener,
+                    public traffic::EndpointListListener {
 public:
     Proxy(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
           metrics::Numbers& numbers);
@@ -36,20 +40,22 @@
     }  // by the module's choice
 
     // RequestDispatcher
-    traffic::RequestId take(traffic::Request request, traffic::ResponseSink& sink) override;
-    void withdraw(traffic::RequestId request) override;
-    bool able_to_serve() const override { return !ready_.empty(); }
-    bool knows_group(int group) const override { return groups_.count(group) > 0; }
-    // Results
-    bool answer_started(const decision::AnswerStarted& start, const traffic::Value& head, std::size_t size,
-                        traffic::Source& source) override;
-    void piece(traffic::RequestId request, std::string_view bytes) override;
-    void attempt_ended(const decision::AttemptEnded& end, std::optional<traffic::Value> value) override;
-    void probe_ended(const decision::HealthCheckEnded& end) override;
-    bool still_wanted(traffic::RequestId request) override;
-    // ListReader
-    void listed(decision::EndpointListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const decision::FailedPoll& call) override;
+    traffic::RequestId submit(traffic::Request request, traffic::ResponseSink& sink) override;
+    void cancel_request(traffic::RequestId request) override;
+    bool has_ready_endpoints() const override { return !ready_.empty(); }
+    bool knows_replica_group(int replica_group) const override { return groups_.count(replica_group) > 0; }
+    // AttemptListener
+    bool on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
+                           std::size_t size, traffic::ResponseSource& source) override;
+    void on_value_chunk(traffic::RequestId request, std::string_view bytes) override;
+    void on_attempt_ended(const decision::AttemptEnded& end,
+                          std::optional<traffic::ResultValue> value) override;
+    void on_health_check_ended(const decision::HealthCheckEnded& end) override;
+    bool is_request_active(traffic::RequestId request) override;
+    // EndpointListListener
+    void on_endpoint_list(decision::EndpointListKind kind,
+                          std::vector<traffic::ListedEndpoint> entries) override;
+    void on_poll_failed(const decision::FailedPoll& call) override;
 
 private:
     struct Open {
--- /dev/null
+++ b/src/core/traffic/statement.cpp
@@ -0,0 +1,23 @@
+#include "traffic/statement.h"
+
+#include <algorithm>
+
+namespace sloestack::traffic {
+namespace {
+
+constexpr Micros kMicrosPerMillisecond = 1'000;
+
+}  // namespace
+
+std::string Statement::format_time_left(Micros left) {
+    const Micros rounded = (left + kMicrosPerMillisecond / 2) / kMicrosPerMillisecond;
+    return std::to_string(std::max<Micros>(1, rounded));
+}
+
+std::string Statement::with_time_left(Micros left) const {
+    std::string out = text;
+    out.replace(time_left_offset, time_left_size, format_time_left(left));
+    return out;
+}
+
+}  // namespace sloestack::traffic
--- a/src/downstream/sessions/session.cpp
+++ b/src/downstream/sessions/session.cpp
@@ -133,7 +133,7 @@
 void Session::drained() {
     if (state_ == State::finishing) return linger();
     if (passes_on()) {
-        queries_.front()->source->hold(false);
+        queries_.front()->source->set_paused(false);
         return renew_limit();
     }
     read_all();
@@ -328,7 +328,7 @@
     std::string out;
     if (pgwire::is_blank(statement)) {
         // The front takes this for readiness.
-        if (!office_.dispatcher.able_to_serve())
+        if (!office_.dispatcher.has_ready_endpoints())
             return say_error(pgwire::code::kCannotConnectNow, "no member is known yet");
         Builder(out).empty_query().ready();
         return reply(out);
@@ -342,7 +342,7 @@
     auto& a = request.arrival;
     auto kept = std::make_shared<traffic::Statement>();
     kept->text = std::move(statement);
-    kept->room = std::move(room);
+    kept->memory_reservation = std::move(room);
     try {
         const auto tags = pgwire::read_tags(kept->text);
         const auto& names = office_.class_names;
@@ -351,7 +351,7 @@
             return say_error(pgwire::code::kInvalidParameter,
                              "unknown class " + std::string(tags.request_class));
         q->request_class = static_cast<int>(request_class - names.begin());
-        if (!office_.dispatcher.knows_group(tags.cluster)) {
+        if (!office_.dispatcher.knows_replica_group(tags.cluster)) {
             office_.numbers.answered(q->request_class, metrics::Numbers::shed);
             Builder(out)
                 .error("ERROR", pgwire::code::kCannotConnectNow, "no member of this cluster is known",
@@ -359,7 +359,8 @@
                 .ready();
             return reply(out);
         }
-        kept->left_at = tags.left_at, kept->left_size = tags.left_size;
+        kept->time_left_offset = tags.left_at;
+        kept->time_left_size = tags.left_size;
         a.request_class = q->request_class;
         a.replica_group = tags.cluster;
         // Its client counts from when it has sent it, also what it waits for the answers before it. Where
@@ -388,7 +389,7 @@
     connection_->bound_unread(kBehindRequest);
     queries_.push_back(std::move(q));
     auto& last = *queries_.back();
-    last.request = office_.dispatcher.take(std::move(request), last);
+    last.request = office_.dispatcher.submit(std::move(request), last);
 }
 
 // The class it names, as far as that can be read; for the figures.
@@ -412,7 +413,7 @@
 
 void Session::withdraw(Query& query) {
     query.source = nullptr;
-    if (const auto request = let_go(query)) office_.dispatcher.withdraw(request);
+    if (const auto request = let_go(query)) office_.dispatcher.cancel_request(request);
 }
 
 void Session::withdraw_all() {
@@ -595,7 +596,7 @@
         auto& first = *queries_.front();
         connection_->write(take_kept(first));
         renew_limit();
-        return first.source->hold(false);  // last: its bytes come at once, and its end may
+        return first.source->set_paused(false);  // last: its bytes come at once, and its end may
     }
     look_.clear();
     connection_->bound_unread(kMostUnread);
@@ -605,25 +606,26 @@
     read_all();
 }
 
-void Session::served(Query& query, const traffic::Value& value) {
+void Session::served(Query& query, const traffic::ResultValue& value) {
     office_.numbers.answered(query.request_class, metrics::Numbers::ok);
     std::string out;
     out.reserve(value.bytes.size() + 128);
-    const auto row = value.null ? std::nullopt : std::optional<std::string_view>(value.bytes);
+    const auto row = value.is_null ? std::nullopt : std::optional<std::string_view>(value.bytes);
     Builder(out)
-        .row_description(value.column, value.type, value.binary)
+        .row_description(value.column, value.type, value.is_binary)
         .data_row(row)
-        .complete(value.tag)
+        .complete(value.command_tag)
         .ready();
     answered(query, std::move(out));
 }
 
-void Session::begun(Query& query, const traffic::Value& head, std::size_t size, traffic::Source& source) {
+void Session::begun(Query& query, const traffic::ResultValue& head, std::size_t size,
+                    traffic::ResponseSource& source) {
     std::string out;
-    Builder(out).row_description(head.column, head.type, head.binary).data_row_head(size);
+    Builder(out).row_description(head.column, head.type, head.is_binary).data_row_head(size);
     query.source = &source;
     if (!is_first(query)) {
-        source.hold(true);
+        source.set_paused(true);
         return keep(query, std::move(out));
     }
     connection_->write(out);
@@ -634,7 +636,7 @@
 void Session::piece(Query& query, std::string_view bytes) {
     if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
     connection_->write(bytes);
-    if (connection_->unwritten() > (office_.account.over() ? 0 : kWindow)) query.source->hold(true);
+    if (connection_->unwritten() > (office_.account.over() ? 0 : kWindow)) query.source->set_paused(true);
     renew_limit();
 }
 
--- a/src/downstream/sessions/session.h
+++ b/src/downstream/sessions/session.h
@@ -17,7 +17,7 @@
 #include "metrics/metrics.h"
 #include "pgwire/frame.h"
 #include "sessions/arrival_times.h"
-#include "traffic/traffic.h"
+#include "traffic/request.h"
 #include "transport/connection.h"
 #include "transport/quota.h"
 
@@ -107,23 +107,26 @@
     // client; that of another is kept until those before it have had theirs.
     struct Query final : traffic::ResponseSink {
         explicit Query(Session& of) : session(of) {}
-        void served(const traffic::Value& value) override { session.served(*this, value); }
-        void begun(const traffic::Value& head, std::size_t size, traffic::Source& from) override {
+        void on_value(const traffic::ResultValue& value) override { session.served(*this, value); }
+        void on_value_started(const traffic::ResultValue& head, std::size_t size,
+                              traffic::ResponseSource& from) override {
             session.begun(*this, head, size, from);
         }
-        void piece(std::string_view bytes) override { session.piece(*this, bytes); }
-        void finished(const std::string& tag) override { session.finished(*this, tag); }
-        void cut_off() override { session.cut_off(*this); }
-        void refused(Micros retry_after) override { session.refused(*this, retry_after); }
-        void failed() override { session.failed(*this); }
-        bool has_left() override { return session.has_left(); }
+        void on_value_chunk(std::string_view bytes) override { session.piece(*this, bytes); }
+        void on_value_completed(const std::string& command_tag) override {
+            session.finished(*this, command_tag);
+        }
+        void on_value_aborted() override { session.cut_off(*this); }
+        void on_rejected(Micros retry_after) override { session.refused(*this, retry_after); }
+        void on_failed() override { session.failed(*this); }
+        bool client_disconnected() override { return session.has_left(); }
 
         Session& session;
         traffic::RequestId request = 0;  // 0 once it is answered
         int request_class = -1;
-        std::string id;                     // the client's name for it
-        std::string kept;                   // the answer, or its head, that waits for those before
-        traffic::Source* source = nullptr;  // of an answer that is passed on in pieces
+        std::string id;                             // the client's name for it
+        std::string kept;                           // the answer, or its head, that waits for those before
+        traffic::ResponseSource* source = nullptr;  // of an answer that is passed on in pieces
     };
 
     void read_all();
@@ -154,8 +157,9 @@
     void next_answer();
     void say_error(std::string_view sqlstate, std::string_view what);
 
-    void served(Query& query, const traffic::Value& value);
-    void begun(Query& query, const traffic::Value& head, std::size_t size, traffic::Source& source);
+    void served(Query& query, const traffic::ResultValue& value);
+    void begun(Query& query, const traffic::ResultValue& head, std::size_t size,
+               traffic::ResponseSource& source);
     void piece(Query& query, std::string_view bytes);
     void finished(Query& query, const std::string& tag);
     void cut_off(Query& query);
--- a/src/fleet/discovery/list.cpp
+++ b/src/fleet/discovery/list.cpp
@@ -54,8 +54,8 @@
     gone_.erase(gone_.begin());
 }
 
-traffic::Entry Reader::entry(const nlohmann::json& json) {
-    traffic::Entry out;
+traffic::ListedEndpoint Reader::entry(const nlohmann::json& json) {
+    traffic::ListedEndpoint out;
     out.name = json.at("id").get<std::string>();
     out.endpoint.endpoint = numbers_.of(out.name);
     out.endpoint.state = state_of(json.at("phase").get<std::string>());
--- a/src/fleet/discovery/list.h
+++ b/src/fleet/discovery/list.h
@@ -10,14 +10,14 @@
 #include <string>
 #include <vector>
 
-#include "traffic/traffic.h"
+#include "traffic/endpoint_list.h"
 
 namespace sloestack::discovery {
 
 struct List {
     std::int64_t revision = 0;
     bool complete = false;
-    std::vector<traffic::Entry> members;
+    std::vector<traffic::ListedEndpoint> members;
 };
 
 // Members have names; the decisions want small numbers. A name keeps its number for as long as it is listed
@@ -58,7 +58,7 @@
     std::size_t names() const { return numbers_.size(); }
 
 private:
-    traffic::Entry entry(const nlohmann::json& json);
+    traffic::ListedEndpoint entry(const nlohmann::json& json);
     void keep_numbers(const nlohmann::json& members, bool complete);
     void keep_drains(List& list);
 
--- a/src/fleet/discovery/watch.cpp
+++ b/src/fleet/discovery/watch.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 Watch::Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
-             std::optional<std::int64_t> revision, traffic::ListReader& reader,
+             std::optional<std::int64_t> revision, traffic::EndpointListListener& reader,
              const decision::PollTimeouts& times)
     : loop_(loop),
       deadlines_(deadlines),
@@ -91,8 +91,9 @@
     revision_ = list.revision;
     called_ = true;
     if (!response.keeps_open()) connection_.reset();
-    reader_.listed(list.complete ? decision::EndpointListKind::complete : decision::EndpointListKind::changes,
-                   std::move(list.members));
+    reader_.on_endpoint_list(
+        list.complete ? decision::EndpointListKind::complete : decision::EndpointListKind::changes,
+        std::move(list.members));
     call();  // at once: later than 200 ms after the answer it would be a new watch
 }
 
@@ -129,7 +130,7 @@
     response_.reset();
     connection_.reset();
     patience_.clear();
-    reader_.call_failed({refused, deadlines_.now() - begun_at_});
+    reader_.on_poll_failed({refused, deadlines_.now() - begun_at_});
 }
 
 }  // namespace sloestack::discovery
--- a/src/fleet/discovery/watch.h
+++ b/src/fleet/discovery/watch.h
@@ -16,7 +16,7 @@
 class Watch final : public net::ConnectionEvents {
 public:
     Watch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& at, std::string host, Reader& lists,
-          std::optional<std::int64_t> revision, traffic::ListReader& reader,
+          std::optional<std::int64_t> revision, traffic::EndpointListListener& reader,
           const decision::PollTimeouts& times);
 
     // Starts the loop where it does not run. A failure ends it and is told to the reader, who decides when to
@@ -47,7 +47,7 @@
     std::string host_;
     Reader& lists_;
     std::optional<std::int64_t> revision_;  // of the list held; 0 is one like any other
-    traffic::ListReader& reader_;
+    traffic::EndpointListListener& reader_;
     std::unique_ptr<net::Connection> connection_;
     std::optional<http::ResponseParser> response_;  // there while a call is out
     decision::PollTimeouts times_;
--- a/src/fleet/exclusions/exclusions.cpp
+++ b/src/fleet/exclusions/exclusions.cpp
@@ -8,7 +8,7 @@
 using decision::EndpointListKind;
 using decision::EndpointState;
 
-void Bans::listed(EndpointListKind kind, std::vector<traffic::Entry> entries) {
+void Bans::on_endpoint_list(EndpointListKind kind, std::vector<traffic::ListedEndpoint> entries) {
     if (kind == EndpointListKind::complete || kind == EndpointListKind::cached) present_.clear();
     for (auto& e : entries) {
         if (e.endpoint.state == EndpointState::removed)
@@ -17,10 +17,10 @@
             present_[e.name] = e;
         e = laid_over(std::move(e));
     }
-    next_.listed(kind, std::move(entries));
+    next_.on_endpoint_list(kind, std::move(entries));
 }
 
-traffic::Entry Bans::laid_over(traffic::Entry entry) const {
+traffic::ListedEndpoint Bans::laid_over(traffic::ListedEndpoint entry) const {
     if (entry.endpoint.state == EndpointState::ready && is_banned(entry.name))
         entry.endpoint.state = EndpointState::draining;
     return entry;
@@ -28,7 +28,8 @@
 
 void Bans::pass_on(const std::string& name) {
     const auto present = present_.find(name);
-    if (present != present_.end()) next_.listed(EndpointListKind::changes, {laid_over(present->second)});
+    if (present != present_.end())
+        next_.on_endpoint_list(EndpointListKind::changes, {laid_over(present->second)});
 }
 
 void Bans::ban(const std::string& name) {
--- a/src/fleet/exclusions/exclusions.h
+++ b/src/fleet/exclusions/exclusions.h
@@ -7,16 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "traffic/traffic.h"
+#include "traffic/endpoint_list.h"
 
 namespace sloestack::exclusions {
 
-class Bans final : public traffic::ListReader {
+class Bans final : public traffic::EndpointListListener {
 public:
-    explicit Bans(traffic::ListReader& next) : next_(next) {}
+    explicit Bans(traffic::EndpointListListener& next) : next_(next) {}
 
-    void listed(decision::EndpointListKind kind, std::vector<traffic::Entry> entries) override;
-    void call_failed(const decision::FailedPoll& call) override { next_.call_failed(call); }
+    void on_endpoint_list(decision::EndpointListKind kind,
+                          std::vector<traffic::ListedEndpoint> entries) override;
+    void on_poll_failed(const decision::FailedPoll& poll) override { next_.on_poll_failed(poll); }
     void ban(const std::string& name);
     // One call back ends the ban; what discovery says now, a restart included, is passed on with it.
     void lift(const std::string& name);
@@ -27,12 +28,12 @@
     std::size_t listed_and_banned() const;
 
 private:
-    traffic::Entry laid_over(traffic::Entry entry) const;
+    traffic::ListedEndpoint laid_over(traffic::ListedEndpoint entry) const;
     void pass_on(const std::string& name);
 
-    traffic::ListReader& next_;
+    traffic::EndpointListListener& next_;
     std::set<std::string> banned_;
-    std::map<std::string, traffic::Entry> present_;  // discovery's word, of those it lists
+    std::map<std::string, traffic::ListedEndpoint> present_;  // discovery's word, of those it lists
 };
 
 }  // namespace sloestack::exclusions
--- a/src/upstream/connection_pool/answer.h
+++ b/src/upstream/connection_pool/answer.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "sloestack/router.h"
-#include "traffic/traffic.h"
+#include "traffic/response.h"
 
 namespace sloestack::upstream {
 
@@ -16,7 +16,7 @@
     decision::ReplicationStatus status;           // of the answer itself
     decision::ReplicationStatus reported_status;  // of a load report that came with it
     // The row; there where the outcome is ok.
-    std::optional<traffic::Value> value;
+    std::optional<traffic::ResultValue> value;
 };
 
 // A load report: name=value pairs with commas between. One pair that cannot be read spoils all of it.
--- a/src/upstream/connection_pool/link.h
+++ b/src/upstream/connection_pool/link.h
@@ -8,6 +8,8 @@
 
 #include "connection_pool/answer.h"
 #include "deadlines/deadlines.h"
+#include "traffic/response.h"
+#include "traffic/statement.h"
 #include "transport/connection.h"
 #include "transport/quota.h"
 
@@ -21,7 +23,7 @@
     virtual void link_sent(Link& link) = 0;   // its query's last byte has been written
     // A value too large to be gathered: `size` bytes follow in pieces. False where nobody wants it; the link
     // is closed then.
-    virtual bool link_value_begins(Link& link, const traffic::Value& head, std::size_t size) = 0;
+    virtual bool link_value_begins(Link& link, const traffic::ResultValue& head, std::size_t size) = 0;
     virtual void link_piece(Link& link, std::string_view bytes) = 0;
     virtual void link_answering(Link& link) = 0;                 // a part of an answer has come
     virtual void link_answered(Link& link, Answer& answer) = 0;  // idle again
@@ -33,7 +35,7 @@
     ~LinkEvents() = default;
 };
 
-class Link : public traffic::Source {
+class Link : public traffic::ResponseSource {
 public:
     virtual ~Link() = default;
 
--- a/src/upstream/connection_pool/pool.cpp
+++ b/src/upstream/connection_pool/pool.cpp
@@ -45,7 +45,7 @@
 };
 
 Pool::Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-           traffic::Results& results, metrics::Numbers& numbers)
+           traffic::AttemptListener& results, metrics::Numbers& numbers)
     : loop_(loop),
       deadlines_(deadlines),
       quota_(quota),
@@ -55,7 +55,7 @@
 Pool::~Pool() = default;
 
 // ---- the list ----
-void Pool::listed(EndpointListKind kind, const std::vector<traffic::Entry>& entries) {
+void Pool::listed(EndpointListKind kind, const std::vector<traffic::ListedEndpoint>& entries) {
     if (kind != EndpointListKind::changes)
         for (auto& [id, member] : members_)
             if (std::none_of(entries.begin(), entries.end(),
@@ -100,11 +100,11 @@
     enqueue(std::move(job));
 }
 
-void Pool::probe(traffic::EndpointId server) {
+void Pool::start_health_check(traffic::EndpointId endpoint) {
     auto job = std::make_unique<Job>();
     job->attempt.number = probes_++;
-    job->attempt.endpoint = server;
-    job->attempt.give_up_at = deadlines_.now() + kProbeTimeout;
+    job->attempt.endpoint = endpoint;
+    job->attempt.timeout_at = deadlines_.now() + kProbeTimeout;
     enqueue(std::move(job));
 }
 
@@ -117,7 +117,7 @@
     if (member == members_.end() || !member->second->address) return end(job, Outcome::connect_failed);
     job.member = member->second.get();
     if (!may_begin(job)) return end(job, Outcome::expired);
-    job.give_up_at.set(deadlines_, job.attempt.give_up_at, [this, &job] { give_up(job, Outcome::timeout); });
+    job.give_up_at.set(deadlines_, job.attempt.timeout_at, [this, &job] { give_up(job, Outcome::timeout); });
     job.connect_by.set(deadlines_, job.sent_at + settings_.connect_timeout_us,
                        [this, &job] { give_up(job, Outcome::connect_failed); });
     job.member->waiting.push_back(&job);
@@ -185,8 +185,8 @@
 // the member stays, the window for repeats is open, time is left and the client is there.
 bool Pool::may_begin(const Job& job) {
     if (job.member->leaving) return false;
-    if (job.attempt.begin_by && deadlines_.now() >= *job.attempt.begin_by) return false;
-    return job.is_probe() || results_.still_wanted(job.attempt.request);
+    if (job.attempt.start_by && deadlines_.now() >= *job.attempt.start_by) return false;
+    return job.is_probe() || results_.is_request_active(job.attempt.request);
 }
 
 bool Pool::begin(Link& link, Job& job) {
@@ -202,11 +202,11 @@
     if (job.is_probe())
         link.probe();
     else
-        link.query(job.attempt.statement, job.attempt.give_up_at - deadlines_.now());
+        link.query(job.attempt.statement, job.attempt.timeout_at - deadlines_.now());
     return true;
 }
 
-void Pool::cancel(traffic::RequestId request, int number) {
+void Pool::cancel_attempt(traffic::RequestId request, int number) {
     const auto job = jobs_.find({request, number});
     if (job != jobs_.end()) give_up(*job->second, Outcome::cancelled);
 }
@@ -236,7 +236,7 @@
         e.outcome = outcome;
         e.latency_us = latency;
         if (answer && answer->value) e.reported_status = read_load(answer->value->bytes);
-        return results_.probe_ended(e);
+        return results_.on_health_check_ended(e);
     }
     decision::AttemptEnded e;
     e.request = job.attempt.request;
@@ -245,13 +245,13 @@
     e.outcome = outcome;
     e.latency_us = latency;
     e.on_reused_connection = job.on_reused_connection;
-    std::optional<traffic::Value> value;
+    std::optional<traffic::ResultValue> value;
     if (answer) {
         e.status = answer->status;
         e.reported_status = answer->reported_status;
         if (outcome == Outcome::ok) value = std::move(answer->value);
     }
-    results_.attempt_ended(e, std::move(value));
+    results_.on_attempt_ended(e, std::move(value));
 }
 
 // ---- links ----
@@ -308,11 +308,11 @@
 }
 
 // Once begun, an answer is the client's: it is not given up any more.
-bool Pool::link_value_begins(Link& link, const traffic::Value& head, std::size_t size) {
+bool Pool::link_value_begins(Link& link, const traffic::ResultValue& head, std::size_t size) {
     auto& job = *by_link_.at(&link).job;
     const decision::AnswerStarted start{job.attempt.request, job.attempt.number, job.attempt.endpoint,
                                         deadlines_.now() - job.sent_at};
-    if (!job.is_probe() && results_.answer_started(start, head, size, link)) {
+    if (!job.is_probe() && results_.on_answer_started(start, head, size, link)) {
         job.give_up_at.clear();
         return true;
     }
@@ -321,7 +321,7 @@
 }
 
 void Pool::link_piece(Link& link, std::string_view bytes) {
-    results_.piece(by_link_.at(&link).job->attempt.request, bytes);
+    results_.on_value_chunk(by_link_.at(&link).job->attempt.request, bytes);
 }
 
 // A part of an answer that nothing follows would hold its request until the client gives up.
--- a/src/upstream/connection_pool/pool.h
+++ b/src/upstream/connection_pool/pool.h
@@ -12,7 +12,8 @@
 #include "connection_pool/link.h"
 #include "deadlines/deadlines.h"
 #include "metrics/metrics.h"
-#include "traffic/traffic.h"
+#include "traffic/attempt.h"
+#include "traffic/endpoint_list.h"
 #include "transport/quota.h"
 
 namespace sloestack::upstream {
@@ -24,16 +25,16 @@
     bool removal_is_advisory = false;
 };
 
-class Pool final : public traffic::Members, private LinkEvents {
+class Pool final : public traffic::AttemptSender, private LinkEvents {
 public:
     Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-         traffic::Results& results, metrics::Numbers& numbers);
+         traffic::AttemptListener& results, metrics::Numbers& numbers);
     ~Pool() override;
 
-    void listed(decision::EndpointListKind kind, const std::vector<traffic::Entry>& entries);
+    void listed(decision::EndpointListKind kind, const std::vector<traffic::ListedEndpoint>& entries);
     void send(const traffic::Attempt& attempt) override;
-    void cancel(traffic::RequestId request, int number) override;
-    void probe(traffic::EndpointId server) override;
+    void cancel_attempt(traffic::RequestId request, int number) override;
+    void start_health_check(traffic::EndpointId endpoint) override;
 
     // Closes idle links for as long as the share is exceeded; those in use end after their answers.
     void fit();
@@ -59,7 +60,7 @@
 
     void link_ready(Link& link) override;
     void link_sent(Link& link) override;
-    bool link_value_begins(Link& link, const traffic::Value& head, std::size_t size) override;
+    bool link_value_begins(Link& link, const traffic::ResultValue& head, std::size_t size) override;
     void link_piece(Link& link, std::string_view bytes) override;
     void link_answering(Link& link) override;
     void link_answered(Link& link, Answer& answer) override;
@@ -69,7 +70,7 @@
     Deadlines& deadlines_;
     net::Quota& quota_;
     PoolSettings settings_;
-    traffic::Results& results_;
+    traffic::AttemptListener& results_;
     metrics::Numbers& numbers_;
     std::map<traffic::EndpointId, std::unique_ptr<Member>> members_;
     std::map<std::pair<traffic::RequestId, int>, std::unique_ptr<Job>> jobs_;
--- a/src/upstream/postgres/link.cpp
+++ b/src/upstream/postgres/link.cpp
@@ -62,14 +62,14 @@
     if (s.text.size() <= pgwire::kLargestMessage) return query(s.with_time_left(left));
     if (!SLOESTACK_INVARIANT(state_ == State::idle, "one query at a time on a link")) return;
     begin_query();
-    const auto digits = s.time_left(left);
+    const auto digits = s.format_time_left(left);
     const std::string_view text = s.text;
     std::string head;
-    pgwire::Builder(head).query_head(text.size() - s.left_size + digits.size());
+    pgwire::Builder(head).query_head(text.size() - s.time_left_size + digits.size());
     connection_->write(head);
-    connection_->write(text.substr(0, s.left_at), statement);
+    connection_->write(text.substr(0, s.time_left_offset), statement);
     connection_->write(digits);
-    connection_->write(std::string(text.substr(s.left_at + s.left_size)) + '\0');
+    connection_->write(std::string(text.substr(s.time_left_offset + s.time_left_size)) + '\0');
 }
 
 std::size_t Link::longest(char type) const {
@@ -150,11 +150,11 @@
     if (state_ != State::broken) connection_->consume(bytes.size());
 }
 
-void Link::hold(bool on) {
-    if (held_ == on || state_ != State::busy) return;
-    held_ = on;
-    connection_->hold(on);
-    if (!on) received();
+void Link::set_paused(bool paused) {
+    if (held_ == paused || state_ != State::busy) return;
+    held_ = paused;
+    connection_->hold(paused);
+    if (!paused) received();
 }
 
 // Whatever was read of the answer before is worth nothing then: its outcome, its position, its report.
--- a/src/upstream/postgres/link.h
+++ b/src/upstream/postgres/link.h
@@ -29,7 +29,7 @@
     void probe() override;
     bool passes_on() const override { return in_pieces_; }
     bool held() const override { return held_; }
-    void hold(bool on) override;
+    void set_paused(bool paused) override;
     void close() override;
     void spoilt() override;
     bool may_run() const override { return state_ == State::busy && connection_->unwritten() == 0; }
--- a/src/upstream/postgres/reply.cpp
+++ b/src/upstream/postgres/reply.cpp
@@ -96,15 +96,15 @@
             in.int16(), in.int32();
             const auto format = in.int16();
             if (format > 1) throw pgwire::BadMessage("a column of an unknown format");
-            v.binary = format == 1;
+            v.is_binary = format == 1;
             nothing_more(in);
             return false;
         }
         case 'D': {
             if (!answer_.value || row_ || in.int16() != 1) throw pgwire::BadMessage("a row out of place");
             const std::size_t size = in.int32();
-            answer_.value->null = size == 0xffffffff;
-            if (!answer_.value->null) answer_.value->bytes = in.bytes(size);
+            answer_.value->is_null = size == 0xffffffff;
+            if (!answer_.value->is_null) answer_.value->bytes = in.bytes(size);
             nothing_more(in);
             row_ = true;
             return false;
@@ -113,7 +113,7 @@
             // Served is the row and the command's end; an end without a row tells that nothing was served.
             const auto tag = in.text();
             nothing_more(in);
-            if (answer_.value) answer_.value->tag = tag;
+            if (answer_.value) answer_.value->command_tag = tag;
             if (!answer_.outcome) answer_.outcome = row_ ? Outcome::ok : Outcome::error;
             return false;
         }
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -42,7 +42,7 @@
 constexpr Fate kFates[] = {Fate::silence,   Fate::refusal, Fate::rubbish,      Fate::older,  Fate::half,
                            Fate::no_length, Fate::endless, Fate::byte_by_byte, Fate::no_list};
 
-class World final : public traffic::ListReader {
+class World final : public traffic::EndpointListListener {
 public:
     explicit World(int routers)
         : calls_(settings(routers)),
@@ -51,13 +51,13 @@
         watch_.start();
     }
 
-    void call_failed(const sloestack::decision::FailedPoll& call) override {
+    void on_poll_failed(const sloestack::decision::FailedPoll& call) override {
         ++failures;
         // As the decision module does, with the longest draw.
         again_.set(deadlines_, clock.at + calls_.delay_after_failure(call, kHighest),
                    [this] { watch_.start(); });
     }
-    void listed(EndpointListKind, std::vector<traffic::Entry> entries) override {
+    void on_endpoint_list(EndpointListKind, std::vector<traffic::ListedEndpoint> entries) override {
         calls_.on_list_received();
         for (const auto& e : entries) {
             state = e.endpoint.state;
--- a/tests/parser_tests.cpp
+++ b/tests/parser_tests.cpp
@@ -13,6 +13,7 @@
 #include "pgwire/build.h"
 #include "pgwire/statement.h"
 #include "postgres/reply.h"
+#include "traffic/statement.h"
 #include "transport/byte_account.h"
 #include "transport/quota.h"
 
@@ -146,12 +147,13 @@
 }
 
 // What a follower of the list reads, as NAME and state.
-struct Follower final : traffic::ListReader {
-    std::map<std::string, traffic::Entry> now;
-    void listed(sloestack::decision::EndpointListKind, std::vector<traffic::Entry> entries) override {
+struct Follower final : traffic::EndpointListListener {
+    std::map<std::string, traffic::ListedEndpoint> now;
+    void on_endpoint_list(sloestack::decision::EndpointListKind,
+                          std::vector<traffic::ListedEndpoint> entries) override {
         for (auto& e : entries) now[e.name] = e;
     }
-    void call_failed(const sloestack::decision::FailedPoll&) override {}
+    void on_poll_failed(const sloestack::decision::FailedPoll&) override {}
     sloestack::decision::EndpointState of(const std::string& name) const {
         return now.at(name).endpoint.state;
     }
@@ -161,7 +163,7 @@
     using sloestack::decision::EndpointListKind;
     using sloestack::decision::EndpointState;
     const auto entry = [](const char* name, EndpointState state, sloestack::decision::Time started = 0) {
-        traffic::Entry e;
+        traffic::ListedEndpoint e;
         e.name = name;
         e.endpoint.state = state;
         e.endpoint.started_at = started;
@@ -171,20 +173,20 @@
     exclusions::Bans bans(follower);
     // Banned before it is listed at all, as after an upgrade: what is known from the start is laid over too.
     bans.ban("a");
-    bans.listed(EndpointListKind::cached,
-                {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
+    bans.on_endpoint_list(EndpointListKind::cached,
+                          {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
     CHECK(follower.of("a") == EndpointState::draining && follower.of("b") == EndpointState::ready);
     CHECK(bans.listed_members() == 2 && bans.listed_and_banned() == 1);
-    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::removed)});
+    bans.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::removed)});
     CHECK(follower.of("a") == EndpointState::removed && bans.listed_and_banned() == 0);
-    bans.listed(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
+    bans.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
     CHECK(follower.of("a") == EndpointState::draining);
     // Discovery's present word comes with the call back, the cold start included.
     bans.lift("a");
     CHECK(follower.of("a") == EndpointState::ready && follower.now.at("a").endpoint.started_at == 77);
     bans.ban("b");
-    bans.listed(EndpointListKind::complete,
-                {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
+    bans.on_endpoint_list(EndpointListKind::complete,
+                          {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
     bans.lift("b");
     CHECK(follower.of("b") == EndpointState::draining);
 }
@@ -259,7 +261,7 @@
     auto r = reply_to(bytes, whole);
     CHECK(whole && r.answer().outcome == Outcome::ok && r.answer().value->bytes == "v" &&
           r.answer().value->type == 17);
-    CHECK(r.answer().value->binary && r.answer().value->tag == "SELECT 1" &&
+    CHECK(r.answer().value->is_binary && r.answer().value->command_tag == "SELECT 1" &&
           r.answer().value->column == "data");
     CHECK(r.answer().status.role == Role::primary && r.answer().status.position == 1767225600123000);
     CHECK(r.answer().reported_status.role == Role::replica &&
