--- a/tests/upstream/postgres_reply_test.cpp
+++ b/tests/upstream/postgres_reply_test.cpp
@@ -49,7 +49,7 @@
     auto r = reply_to(bytes, whole);
     ASSERT_TRUE(whole && r.answer().outcome == Outcome::ok && r.answer().value->bytes == "v" &&
                 r.answer().value->type == 17);
-    ASSERT_TRUE(r.answer().value->binary && r.answer().value->tag == "SELECT 1" &&
+    ASSERT_TRUE(r.answer().value->is_binary && r.answer().value->command_tag == "SELECT 1" &&
                 r.answer().value->column == "data");
     ASSERT_TRUE(r.answer().status.role == Role::primary && r.answer().status.position == 1767225600123000);
     ASSERT_TRUE(r.answer().reported_status.role == Role::replica &&
--- a/tests/wire/pgwire_test.cpp
+++ b/tests/wire/pgwire_test.cpp
@@ -6,7 +6,7 @@
 
 #include "pgwire/build.h"
 #include "pgwire/statement.h"
-#include "traffic/traffic.h"
+#include "traffic/statement.h"
 
 namespace {
 
