--- a/tests/decision/endpoint_subset_test.cpp
+++ b/tests/decision/endpoint_subset_test.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <map>
 
+#include "router_fixture.h"
+
 namespace {
 
 using namespace sloestack::decision;
@@ -77,4 +79,51 @@
     EXPECT_GT(others, own);
 }
 
+// ---- the whole router ----
+using namespace sloestack::decision::test;
+
+// A router uses the rest of a replica group where no endpoint of its subset is eligible, and a new subset
+// when the endpoints are replaced.
+TEST(RouterSubset, IsWidenedWhereNoneOfItIsEligible) {
+    auto settings = default_settings();
+    settings.router_count = 300;
+    settings.router_index = 17;
+    settings.position_check = PositionCheck::reject;
+    RouterFixture fixture(settings, 0);
+    const auto list_of = [](EndpointId from) {
+        std::vector<EndpointEntry> list;
+        for (EndpointId id = from; id < from + 6; ++id) list.push_back(make_entry(id));
+        return list;
+    };
+    fixture.endpoint_list(EndpointListKind::complete, list_of(1));
+    fixture.step();
+    std::set<EndpointId> first;
+    const auto reads = [&](RequestId from, int request_class) {
+        std::set<EndpointId> used;
+        for (RequestId id = from; id < from + 40; ++id) {
+            fixture.arrive(id, request_class);
+            fixture.step(100'000);
+            const auto to = fixture.forwarded_to(id);
+            EXPECT_TRUE(to.has_value()) << id;
+            if (!to) continue;
+            used.insert(*to);
+            fixture.answered(id, *to, Role::replica, 0);
+        }
+        fixture.step();
+        return used;
+    };
+    first = reads(1, kAnyRead);
+    EXPECT_EQ(first.size(), 3u);
+    for (const auto id : first) fixture.health_check_ended(id, Role::replica, fixture.now - 5'000'000);
+    fixture.step();
+    const auto others = reads(100, kBoundedRead);
+    EXPECT_EQ(others.size(), 3u);
+    for (const auto id : others) EXPECT_EQ(first.count(id), 0u);
+    fixture.endpoint_list(EndpointListKind::complete, list_of(11));
+    fixture.step();
+    const auto fresh = reads(200, kAnyRead);
+    EXPECT_EQ(fresh.size(), 3u);
+    EXPECT_GE(*fresh.begin(), 11u);
+}
+
 }  // namespace
--- /dev/null
+++ b/tests/decision/primary_tracker_test.cpp
@@ -0,0 +1,109 @@
+// Who the primary is, and the search for it.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+
+#include "router_fixture.h"
+
+namespace sloestack::decision::test {
+namespace {
+
+// A load report is older than the answer that carries it: after a failover each answer made the old primary
+// the primary again for a moment.
+TEST(PrimaryTracker, AnOldReportDoesNotRestoreADemotedPrimary) {
+    RouterFixture fixture(default_settings(), 2);
+    fixture.establish_primary(1, 2);
+    fixture.health_check_ended(1, Role::replica, fixture.now - 1000);
+    fixture.step(1000);
+    EXPECT_TRUE(fixture.logged("primary lost"));
+    fixture.health_check_ended(1, Role::primary, fixture.now - 100'000);
+    fixture.step(1000);
+    EXPECT_FALSE(fixture.logged("primary found"));
+    fixture.health_check_ended(1, Role::primary, fixture.now + 500);
+    fixture.step(1000);
+    EXPECT_TRUE(fixture.logged("primary found"));
+}
+
+// Declined writes are load too, also on an endpoint in slow start.
+TEST(PrimaryTracker, TrialWritesAreSpreadOverTheRouters) {
+    const auto forwarded = [](int router_count) {
+        auto settings = default_settings();
+        settings.router_count = router_count;
+        RouterFixture fixture(settings);
+        int count = 0;
+        for (RequestId id = 1; id <= 20; ++id) {
+            fixture.arrive(id, kWrite);
+            fixture.fire_timer(10'000);
+            count += fixture.count<Forward>();
+        }
+        return count;
+    };
+    EXPECT_GE(forwarded(1), 8);
+    EXPECT_LE(forwarded(100), 2);
+}
+
+// All routers of a large fleet lose the same primary at once: their health checks together must not overload
+// its group.
+TEST(PrimaryTracker, ManyRoutersCheckHealthLessOften) {
+    const auto health_checks_in_half_a_second = [](int router_count) {
+        auto settings = default_settings();
+        settings.router_count = router_count;
+        settings.health_checks_allowed = true;
+        settings.health_checks_report_status = true;
+        RouterFixture fixture(settings);
+        fixture.arrive(1, kWrite);
+        fixture.step();
+        int count = 0;
+        for (int i = 0; i < 100; ++i) {
+            fixture.fire_timer();
+            count += fixture.count<StartHealthCheck>();
+        }
+        return count;
+    };
+    EXPECT_EQ(health_checks_in_half_a_second(48), 0);
+    EXPECT_GE(health_checks_in_half_a_second(4), 3);
+}
+
+// 100 routers that each check 60 endpoints at their start would send 6,000 health checks.
+TEST(PrimaryTracker, FirstHealthChecksAreAShareOfABudget) {
+    const auto health_checks_by = [](int router_count) {
+        int count = 0;
+        for (int i = 0; i < router_count; ++i) {
+            RouterFixture fixture(fleet_settings(router_count), 5, static_cast<std::uint64_t>(i) + 1);
+            fixture.arrive(1, kAnyRead);
+            fixture.step();
+            count += fixture.count<StartHealthCheck>();
+        }
+        return count;
+    };
+    EXPECT_EQ(health_checks_by(3), 15);
+    const int many = health_checks_by(100);
+    EXPECT_GT(many, 10);
+    EXPECT_LT(many, 50);
+}
+
+// A replica group without a primary is checked for the requests that wait for it; at most routers none do.
+TEST(PrimaryTracker, AReplicaGroupWithoutPendingRequestsIsNotChecked) {
+    RouterFixture fixture(fleet_settings(8), 3);
+    fixture.establish_primary(1);
+    fixture.arrive(1, kAnyRead);
+    fixture.step();
+    fixture.answered(1, fixture.forwarded_to(1).value_or(1), Role::unknown, 0);
+    fixture.endpoint_list(EndpointListKind::changes, {make_entry(1, EndpointState::removed)});
+    fixture.step();
+    int health_checks = 0;
+    const auto run_for_a_second = [&] {
+        for (int i = 0; i < 200; ++i) {
+            fixture.fire_timer();
+            health_checks += fixture.count<StartHealthCheck>();
+        }
+    };
+    run_for_a_second();
+    EXPECT_EQ(health_checks, 0);
+    for (RequestId id = 2; id < 10; ++id) fixture.arrive(id, kWrite);
+    run_for_a_second();
+    EXPECT_GT(health_checks, 0);
+}
+
+}  // namespace
+}  // namespace sloestack::decision::test
--- /dev/null
+++ b/tests/decision/read_consistency_test.cpp
@@ -0,0 +1,99 @@
+// Which endpoints may answer a read, by its consistency.
+#include <gtest/gtest.h>
+
+#include <set>
+
+#include "router_fixture.h"
+
+namespace sloestack::decision::test {
+namespace {
+
+// The last write of the session may have gone through the process that this one replaced.
+TEST(ReadConsistency, UnknownSessionSeesAllWritesBeforeTheStart) {
+    RouterFixture fixture(default_settings());
+    fixture.establish_primary(2);  // the replicas are at 10 ms before the start
+    for (RequestId id = 1; id <= 20; ++id) {
+        fixture.arrive(id, kSessionRead, 7);
+        fixture.step(1000);
+        ASSERT_EQ(fixture.forwarded_to(id), 2u);
+        fixture.answered(id, 2, Role::primary, fixture.now);
+        fixture.step();
+    }
+    fixture.now += 20'000;
+    fixture.establish_primary(2);
+    std::set<EndpointId> used;
+    for (RequestId id = 21; id <= 40; ++id) {
+        fixture.arrive(id, kSessionRead, 7);
+        fixture.step();
+        const auto to = fixture.forwarded_to(id);
+        ASSERT_TRUE(to);
+        used.insert(*to);
+        fixture.answered(id, *to, *to == 2 ? Role::primary : Role::replica, fixture.now - 10'000);
+        fixture.step(1000);
+    }
+    EXPECT_GT(used.size(), 1u);
+}
+
+TEST(ReadConsistency, LinearizableReadGoesToThePrimary) {
+    RouterFixture fixture(default_settings());
+    fixture.establish_primary(3);
+    fixture.arrive(1, kLinearizableRead);
+    fixture.step(1000);
+    EXPECT_EQ(fixture.forwarded_to(1), 3u);
+}
+
+TEST(ReadConsistency, BoundedReadAvoidsReplicasOfUnknownOrOldPosition) {
+    RouterFixture fixture(default_settings());
+    for (RequestId id = 1; id <= 20; ++id) fixture.arrive(id, kBoundedRead);
+    fixture.step(1000);
+    for (RequestId id = 1; id <= 20; ++id) EXPECT_FALSE(fixture.forwarded_to(id));
+    fixture.establish_primary(2);
+    fixture.arrive(30, kBoundedRead);
+    fixture.step(400'000);  // the reported positions are now older than the bound
+    if (fixture.forwarded_to(30)) {
+        EXPECT_EQ(fixture.forwarded_to(30), 2u);
+    }
+}
+
+TEST(ReadConsistency, SessionSeesItsOwnWrite) {
+    RouterFixture fixture(default_settings());
+    fixture.establish_primary(1);
+    fixture.arrive(1, kWrite, 7);
+    fixture.step(1000);
+    fixture.answered(1, 1, Role::primary, fixture.now);
+    fixture.step(20'000);
+    for (RequestId id = 2; id < 6; ++id) {
+        fixture.arrive(id, kSessionRead, 7);
+        fixture.step(1000);
+        if (fixture.forwarded_to(id)) {
+            EXPECT_EQ(fixture.forwarded_to(id), 1u);
+        }
+    }
+}
+
+TEST(ReadConsistency, AnExpiredSessionTokenStillBindsAnEndpointFromAnOlderCopy) {
+    RouterFixture fixture(default_settings(), 2);
+    fixture.establish_primary(1, 2);
+    fixture.arrive(1, kWrite, 7);
+    fixture.step(1000);
+    const Time commit = fixture.now;
+    fixture.answered(1, 1, Role::primary, commit);
+    fixture.step(1000);
+    fixture.establish_primary(1, 2);
+    for (int i = 0; i < 500; ++i) {  // all endpoints pass the token, which is then dropped
+        fixture.fire_timer();
+        if (i % 20 == 0) fixture.establish_primary(1, 2);
+    }
+    fixture.endpoint_list(EndpointListKind::changes, {make_entry(3)});
+    fixture.health_check_ended(3, Role::replica, commit - 500'000);
+    for (RequestId id = 2; id < 40; ++id) {
+        fixture.arrive(id, kSessionRead, 7);
+        fixture.step(1000);
+        EXPECT_NE(fixture.forwarded_to(id), 3u);
+        if (const auto to = fixture.forwarded_to(id))
+            fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1);
+    }
+}
+
+}  // namespace
+}  // namespace sloestack::decision::test
--- a/tests/decision/zone_health_test.cpp
+++ b/tests/decision/zone_health_test.cpp
@@ -6,6 +6,8 @@
 #include <random>
 #include <set>
 
+#include "router_fixture.h"
+
 namespace {
 
 using namespace sloestack::decision;
@@ -124,4 +126,72 @@
     }
 }
 
+// ---- the whole router ----
+using namespace sloestack::decision::test;
+
+// Requests in flight in a silent zone are hedged elsewhere and no new ones are forwarded there; its primary
+// stays known and is used again as soon as an endpoint of the zone answers a health check.
+TEST(RouterZoneHealth, ASilentZoneIsAvoidedUntilAHealthCheckIsAnswered) {
+    auto settings = default_settings();
+    settings.router_count = 300;
+    settings.health_checks_allowed = true;
+    settings.hedging_allowed = true;
+    RouterFixture fixture(settings, 0);
+    std::vector<EndpointEntry> list;
+    for (EndpointId id = 1; id <= 40; ++id) {
+        list.push_back(make_entry(id));
+        list.back().zone = id % 2;  // those of odd numbers, the primary with them, fall silent
+    }
+    fixture.endpoint_list(EndpointListKind::complete, list);
+    fixture.establish_primary(1, 40);
+    RequestId id = 0;
+    std::map<RequestId, EndpointId> in_flight;
+    bool hedged = false;
+    bool zone_silent = false;
+    bool checked = false;
+    const auto process_actions = [&] {
+        for (const auto& action : fixture.actions) {
+            if (const auto* found = std::get_if<Forward>(&action)) {
+                hedged = hedged || (in_flight.count(found->request) && found->endpoint % 2 == 0);
+                in_flight[found->request] = found->endpoint;
+            }
+            if (const auto* found = std::get_if<Log>(&action))
+                zone_silent = zone_silent || found->text == "zone silent: 1";
+            if (const auto* found = std::get_if<StartHealthCheck>(&action))
+                checked = checked || (zone_silent && found->endpoint % 2 == 1);
+        }
+        auto forwarded = std::move(in_flight);
+        in_flight.clear();
+        for (const auto& [request, endpoint] : forwarded)
+            if (endpoint % 2 == 0)
+                fixture.answered(request, endpoint, Role::replica, fixture.now);
+            else
+                in_flight[request] = endpoint;
+    };
+    for (int i = 0; i < 400 && !zone_silent; ++i) {
+        if (i % 4 == 0) fixture.arrive(++id, kAnyRead);
+        fixture.fire_timer();
+        process_actions();
+    }
+    ASSERT_TRUE(zone_silent);
+    EXPECT_TRUE(hedged) << "a read that waited there was sent elsewhere too";
+    fixture.arrive(++id, kWrite);
+    const auto write = id;
+    for (int i = 0; i < 300; ++i) {
+        if (i % 4 == 0) fixture.arrive(++id, kAnyRead);
+        fixture.fire_timer();
+        for (const auto& action : fixture.actions) {
+            const auto* found = std::get_if<Forward>(&action);
+            EXPECT_FALSE(found && found->endpoint % 2 == 1) << "sent into a silent zone";
+        }
+        EXPECT_FALSE(i < 100 && fixture.find<Reject>(write)) << "a write waits as for any lost primary";
+        process_actions();
+    }
+    EXPECT_TRUE(checked);
+    fixture.health_check_ended(3, Role::replica, fixture.now);
+    fixture.arrive(++id, kWrite);
+    fixture.step();
+    EXPECT_EQ(fixture.forwarded_to(id), std::optional<EndpointId>(1));
+}
+
 }  // namespace
