--- /dev/null
+++ b/src/decision/endpoint_registry.cpp
@@ -0,0 +1,105 @@
+#include "endpoint_registry.h"
+
+#include <algorithm>
+#include <iterator>
+
+#include "endpoint_subset.h"
+
+namespace sloestack::decision {
+namespace {
+
+constexpr Micros kRemovedRetentionUs = 60'000'000;  // bounds growth where endpoints are replaced for good
+
+}  // namespace
+
+void EndpointRegistry::apply(EndpointListKind kind, const std::vector<EndpointEntry>& entries,
+                             Actions& actions) {
+    if (kind != EndpointListKind::changes) remove_unlisted(entries, actions);
+    for (const auto& entry : entries) apply(entry, actions);
+    for (const auto& [id, group] : state_.groups) draw_subset(group);
+}
+
+void EndpointRegistry::remove_unlisted(const std::vector<EndpointEntry>& entries, Actions& actions) {
+    for (auto& [id, endpoint] : state_.endpoints) {
+        const auto names_it = [id = id](const EndpointEntry& entry) { return entry.endpoint == id; };
+        if (std::none_of(entries.begin(), entries.end(), names_it)) remove(endpoint, actions);
+    }
+}
+
+void EndpointRegistry::apply(const EndpointEntry& entry, Actions& actions) {
+    const bool is_removed = entry.state == EndpointState::removed;
+    if (is_removed && !state_.find_endpoint(entry.endpoint)) return;
+    auto& endpoint = find_or_add(entry);
+    if (is_removed) return remove(endpoint, actions);
+    const bool has_restarted = entry.started_at > 0 && entry.started_at > endpoint.slow_start.started_at;
+    if (has_restarted && state_.now - entry.started_at < state_.settings.slow_start_duration_us) {
+        SlowStart::begin(endpoint, entry.started_at);
+        endpoint.outlier.next_trial_at = state_.now;  // it runs again: no need to wait for the next trial
+    }
+    const bool was_leaving = endpoint.is_leaving();
+    endpoint.is_draining = entry.state == EndpointState::draining;
+    if (!endpoint.is_draining)
+        endpoint.removal_notified_at = -1;
+    else if (!was_leaving)
+        endpoint.removal_notified_at = state_.now;
+    if (state_.settings.listed_role == ListedRole::none || !entry.listed_primary) return;
+    auto& group = state_.group(entry.replica_group);
+    if (!group.primary && endpoint.role != Role::replica && !endpoint.is_leaving())
+        group.primary = endpoint.id;
+}
+
+Endpoint& EndpointRegistry::find_or_add(const EndpointEntry& entry) {
+    if (auto* known = state_.find_endpoint(entry.endpoint)) return *known;
+    auto& endpoint = state_.endpoints[entry.endpoint];
+    endpoint.id = entry.endpoint;
+    endpoint.replica_group = entry.replica_group;
+    endpoint.zone = entry.zone;
+    auto& members = state_.group(entry.replica_group).members;
+    members.insert(std::lower_bound(members.begin(), members.end(), entry.endpoint), entry.endpoint);
+    return endpoint;
+}
+
+void EndpointRegistry::remove(Endpoint& endpoint, Actions& actions) {
+    const bool is_advisory = state_.settings.removal_is_advisory;
+    endpoint.is_draining = false;
+    if (!endpoint.is_leaving() && !is_advisory) endpoint.removal_notified_at = state_.now;
+    auto& group = state_.group(endpoint.replica_group);
+    // Where removal is advisory a primary that answers stays one: the list may be wrong.
+    if (group.primary == endpoint.id && !is_advisory) primary_tracker_.lose(group, " removed", actions);
+}
+
+void EndpointRegistry::draw_subset(const ReplicaGroup& group) {
+    std::vector<SubsetCandidate> candidates;
+    for (const auto id : group.members) {
+        auto& endpoint = state_.endpoints.at(id);
+        endpoint.is_in_subset = false;
+        if (!endpoint.is_leaving()) candidates.push_back({id, endpoint.zone});
+    }
+    const auto& settings = state_.settings;
+    for (const auto id : select_subset(subset_key_, settings.zone, candidates, settings.router_count))
+        state_.endpoints.at(id).is_in_subset = true;
+}
+
+std::map<int, Time> EndpointRegistry::forget_removed() {
+    std::map<int, Time> oldest_positions;
+    for (auto entry = state_.endpoints.begin(); entry != state_.endpoints.end();) {
+        const auto& endpoint = entry->second;
+        if (!endpoint.is_removed()) {
+            auto& oldest = oldest_positions.emplace(endpoint.replica_group, state_.now).first->second;
+            oldest = std::min(oldest, endpoint.replication.position);
+            ++entry;
+            continue;
+        }
+        const bool is_retained = state_.now - endpoint.removal_notified_at <= kRemovedRetentionUs;
+        if (is_retained || !endpoint.in_flight.empty()) {
+            ++entry;
+            continue;
+        }
+        auto& members = state_.group(endpoint.replica_group).members;
+        members.erase(std::find(members.begin(), members.end(), endpoint.id));
+        entry = state_.endpoints.erase(entry);
+    }
+    return oldest_positions;
+}
+
+}  // namespace sloestack::decision
--- /dev/null
+++ b/src/decision/outlier_detection.cpp
@@ -0,0 +1,155 @@
+#include "outlier_detection.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace sloestack::decision {
+namespace {
+
+constexpr double kLatencyIncreaseStep = 0.15;  // faster than downwards: trouble is believed soon
+constexpr double kMaxAnswerWeight = 0.5;       // of a single answer in the smoothed ratio
+constexpr double kMinLatencyRatio = 0.2;
+// An endpoint is silent once the time without an answer, over the expected latency and summed over all that
+// it holds, comes to this (e^-10 by chance) ...
+constexpr double kSilenceEvidence = 10;
+// ... and one of them has waited for this multiple of its expected latency, and for this time.
+constexpr double kSilenceLatencyFactor = 4;
+constexpr Micros kMinSilenceUs = 120'000;
+constexpr int kMaxDisconnects = 3;  // in a row: the process has died, not a connection
+constexpr Micros kFirstTrialDelayUs = 250'000;
+constexpr Micros kMaxTrialIntervalUs = 2'000'000;
+constexpr Micros kRestartAssumedAfterUs = 1'000'000;  // ejected for longer, it may have restarted
+
+bool is_answer(Outcome outcome) {
+    return outcome == Outcome::ok || outcome == Outcome::not_eligible || outcome == Outcome::overloaded ||
+           outcome == Outcome::error;
+}
+
+}  // namespace
+
+double latency_ratio(const Endpoint& endpoint, Time now) {
+    const auto& outlier = endpoint.outlier;
+    const double age_us = as_double(now - outlier.latency_updated_at);
+    return 1 + (outlier.latency_ratio - 1) * std::exp(-age_us / kLongRateWindowUs);
+}
+
+void OutlierDetection::on_attempt_ended(Endpoint& endpoint, const AttemptEnded& end, Actions& actions) {
+    const auto found = endpoint.in_flight.find({end.request, end.attempt});
+    if (found == endpoint.in_flight.end()) return;
+    const auto attempt = found->second;
+    endpoint.in_flight.erase(found);
+    if (endpoint.in_flight.empty()) state_.busy_endpoints.erase(endpoint.id);
+    endpoint.in_flight_work_s = endpoint.in_flight.empty() ? 0 : endpoint.in_flight_work_s - attempt.work_s;
+    const bool was_answered = is_answer(end.outcome);
+    if (was_answered) on_answer(endpoint, actions);
+    if (end.outcome == Outcome::timeout || end.outcome == Outcome::connect_failed) {
+        ++endpoint.outlier.unanswered;
+        state_.zones.on_timeout(state_.now, endpoint.zone, endpoint.id, as_double(end.latency_us),
+                                attempt.expected_latency_us);
+    }
+    if (end.outcome == Outcome::ok) endpoint.work_done.add(state_.now, attempt.work_s);
+    learn_latency(endpoint, end, was_answered);
+    const bool was_disconnected = end.outcome == Outcome::connect_failed || end.outcome == Outcome::reset;
+    // A reused connection may simply have been stale.
+    if (!was_disconnected || end.on_reused_connection) return;
+    if (++endpoint.outlier.disconnects >= kMaxDisconnects)
+        eject(endpoint, EjectionCause::disconnected, actions);
+}
+
+void OutlierDetection::learn_latency(Endpoint& endpoint, const AttemptEnded& end, bool was_answered) {
+    // A time-out is a latency as well: some endpoints answer a few requests well and lose the rest.
+    const bool has_latency = end.outcome == Outcome::ok || end.outcome == Outcome::timeout;
+    if (const auto* request = state_.find_request(end.request); request && has_latency) {
+        const double ratio = state_.latency.ratio(request->class_index(), end.latency_us);
+        state_.latency.learn(request->class_index(), ratio);
+        update_latency_ratio(endpoint, ratio);
+        if (was_answered) state_.latency.learn_fleet(ratio);
+    }
+    if (end.outcome == Outcome::overloaded || end.outcome == Outcome::error)
+        update_latency_ratio(endpoint, kMaxLatencyRatio);
+}
+
+// Where answers come seldom the last one is most of what is known.
+void OutlierDetection::update_latency_ratio(Endpoint& endpoint, double ratio) {
+    auto& outlier = endpoint.outlier;
+    const double age_us = as_double(state_.now - outlier.latency_updated_at);
+    const double weight = std::min(kMaxAnswerWeight, 1 - std::exp(-age_us / kLongRateWindowUs));
+    const double before = latency_ratio(endpoint, state_.now);
+    const double step = std::max(ratio > before ? kLatencyIncreaseStep : kLatencyDecreaseStep, weight);
+    outlier.latency_ratio =
+        std::max(kMinLatencyRatio, before + step * (std::min(ratio, kMaxLatencyRatio) - before));
+    outlier.latency_updated_at = state_.now;
+}
+
+void OutlierDetection::on_answer(Endpoint& endpoint, Actions& actions) {
+    endpoint.outlier.answered_at = state_.now;
+    endpoint.outlier.disconnects = 0;
+    endpoint.outlier.unanswered = 0;
+    if (endpoint.outlier.is_ejected) restore(endpoint, actions);
+    const bool was_zone_silent = state_.zones.on_answer(state_.now, endpoint.zone);
+    if (!was_zone_silent) return;
+    actions.emplace_back(endpoint_log("zone restored: endpoint ", endpoint));
+    for (auto& [id, other] : state_.endpoints)
+        if (other.zone == endpoint.zone) other.outlier.next_trial_at = state_.now;
+}
+
+void OutlierDetection::eject_silent(Actions& actions) {
+    for (const auto& [id, endpoint] : state_.busy_endpoints)
+        if (!endpoint->outlier.is_ejected && is_silent(*endpoint))
+            eject(*endpoint, EjectionCause::silent, actions);
+}
+
+// One slow request is no verdict; an endpoint that hangs and holds just one is found later for that.
+bool OutlierDetection::is_silent(const Endpoint& endpoint) const {
+    double evidence = 0;
+    double longest_us = 0;
+    double shortest_expected_us = 1e18;
+    for (const auto& [key, attempt] : endpoint.in_flight) {
+        const double unanswered_us =
+            as_double(state_.now - std::max(attempt.sent_at, endpoint.outlier.answered_at));
+        evidence += unanswered_us / attempt.expected_latency_us;
+        longest_us = std::max(longest_us, unanswered_us);
+        shortest_expected_us = std::min(shortest_expected_us, attempt.expected_latency_us);
+    }
+    // A single outstanding request is not evidence: it may be queued behind other routers' requests.
+    const auto unanswered = endpoint.in_flight.size() + static_cast<std::size_t>(endpoint.outlier.unanswered);
+    return evidence > kSilenceEvidence && unanswered > 1 &&
+           longest_us > std::max<double>(kMinSilenceUs, kSilenceLatencyFactor * shortest_expected_us);
+}
+
+void OutlierDetection::eject(Endpoint& endpoint, EjectionCause cause, Actions& actions) {
+    auto& outlier = endpoint.outlier;
+    if (outlier.is_ejected) return;
+    outlier.is_ejected = true;
+    outlier.ejected_at = state_.now;
+    outlier.trial_interval_us = kFirstTrialDelayUs;
+    outlier.next_trial_at = state_.now + kFirstTrialDelayUs;
+    const char* why = cause == EjectionCause::disconnected ? " disconnected" : " silent";
+    actions.emplace_back(endpoint_log("endpoint ejected: ", endpoint, why));
+    auto& group = state_.group(endpoint.replica_group);
+    if (group.primary == endpoint.id) primary_tracker_.lose(group, " no answer", actions);
+}
+
+void OutlierDetection::restore(Endpoint& endpoint, Actions& actions) {
+    auto& outlier = endpoint.outlier;
+    actions.emplace_back(endpoint_log("endpoint restored: ", endpoint));
+    if (state_.now - outlier.ejected_at > kRestartAssumedAfterUs) SlowStart::begin(endpoint, state_.now);
+    outlier.is_ejected = false;
+    outlier.latency_ratio = 1;
+    outlier.latency_updated_at = state_.now;
+}
+
+bool OutlierDetection::begin_trial(Endpoint& endpoint, const Request& request) {
+    const bool is_idempotent = state_.class_of(request).idempotency == Idempotency::idempotent;
+    auto& outlier = endpoint.outlier;
+    if (state_.now < outlier.next_trial_at || !is_idempotent || !request.attempts.empty()) return false;
+    outlier.trial_interval_us = std::min(kMaxTrialIntervalUs, outlier.trial_interval_us * 3 / 2);
+    outlier.next_trial_at = state_.now + outlier.trial_interval_us;
+    return true;
+}
+
+bool OutlierDetection::is_avoided(const Endpoint& endpoint) const {
+    return (endpoint.outlier.is_ejected || state_.zones.is_silent(endpoint.zone)) && !endpoint.is_leaving();
+}
+
+}  // namespace sloestack::decision
--- /dev/null
+++ b/src/decision/pending_queue.cpp
@@ -0,0 +1,82 @@
+#include "pending_queue.h"
+
+#include <algorithm>
+
+namespace sloestack::decision {
+namespace {
+
+constexpr double kMaxWaitObjectiveRatio = 0.25;  // of the latency objective
+constexpr double kServiceTimeReserve = 1.5;      // x the usual latency, kept of the deadline
+// Of the time that a write has left: for a new primary to clear the queue in.
+constexpr double kClearingTimeShare = 0.5;
+constexpr double kMinQueuedWrites = 10;  // may wait in any case: little was seen yet
+constexpr int kMaxScannedRequests = 64;  // a step, per group and class
+
+}  // namespace
+
+void PendingQueue::dispatch(Request& request, Actions& actions) {
+    const auto choice = load_balancer_.choose(request);
+    Micros timeout_us = 0;
+    if (choice.is_trial)
+        timeout_us = std::max<Micros>(state_.class_of(request).latency_objective_us / 2,
+                                      as_micros(2 * state_.usual_us(request)));
+    if (choice.endpoint && lifecycle_.forward(request, *choice.endpoint, timeout_us, actions)) return;
+    enqueue(request, actions);
+}
+
+void PendingQueue::enqueue(Request& request, Actions& actions) {
+    if (request.is_queued) return;
+    auto& group = state_.group(request.arrival.replica_group);
+    const auto& settings = state_.class_of(request);
+    const bool has_primary = primary_tracker_.usable_primary(group) != nullptr;
+    const auto service_us = as_micros(kServiceTimeReserve * state_.usual_us(request));
+    const auto max_wait_us = as_micros(kMaxWaitObjectiveRatio * as_double(settings.latency_objective_us));
+    request.queued_until = request.arrival.deadline - service_us;
+    if (!settings.is_write || has_primary) {
+        const Time waits_from = std::max(request.arrived_at, state_.now - max_wait_us);
+        request.queued_until = std::min(request.queued_until, waits_from + max_wait_us);
+    }
+    if (request.queued_until <= state_.now || is_overfull(group, request, has_primary))
+        return lifecycle_.give_up(request, request.blocked_reason, actions);
+    request.is_queued = true;
+    group.queues[request.class_index()].push_back(request.id());
+}
+
+// Writes wait for a primary only up to what it can clear in time, taken to be what an endpoint does.
+bool PendingQueue::is_overfull(const ReplicaGroup& group, const Request& request, bool has_primary) const {
+    if (!state_.class_of(request).is_write || has_primary) return false;
+    const double time_left_us = as_double(request.arrival.deadline - state_.now);
+    const double clearable_us = group.work_per_endpoint * kClearingTimeShare * time_left_us;
+    const double usual_us = state_.usual_us(request);
+    const auto queued = static_cast<double>(group.queues[request.class_index()].size());
+    return queued * usual_us > clearable_us + kMinQueuedWrites * usual_us;
+}
+
+void PendingQueue::pump(Actions& actions) {
+    const auto order = state_.latency.by_weight_for_work();
+    for (auto& [id, group] : state_.groups)
+        for (const auto class_index : order) pump_class(group.queues[class_index], actions);
+}
+
+void PendingQueue::pump_class(std::deque<RequestId>& queue, Actions& actions) {
+    std::size_t position = 0;
+    for (int scanned = 0; position < queue.size() && scanned < kMaxScannedRequests; ++scanned) {
+        if (leaves_queue(queue[position], actions))
+            queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(position));
+        else
+            ++position;
+    }
+}
+
+bool PendingQueue::leaves_queue(RequestId id, Actions& actions) {
+    auto* request = state_.find_request(id);
+    if (!request || !request->is_queued) return true;
+    if (state_.now >= request->queued_until) {
+        lifecycle_.give_up(*request, request->blocked_reason, actions);
+        return true;
+    }
+    const auto choice = load_balancer_.choose(*request);
+    return choice.endpoint && lifecycle_.forward(*request, *choice.endpoint, 0, actions);
+}
+
+}  // namespace sloestack::decision
--- /dev/null
+++ b/src/decision/read_consistency.cpp
@@ -0,0 +1,69 @@
+#include "read_consistency.h"
+
+#include <algorithm>
+#include <iterator>
+
+#include "replication_lag.h"
+
+namespace sloestack::decision {
+namespace {
+
+// Added to a session's last write, whose age is told in whole milliseconds.
+constexpr Micros kWriteAgeRoundingUs = 1'000;
+
+}  // namespace
+
+Time ReadConsistency::required_position(const Request& request) {
+    const auto& settings = state_.class_of(request);
+    if (settings.consistency == Consistency::linearizable) return request.arrived_at;
+    if (settings.consistency != Consistency::session) return 0;
+    const auto& arrival = request.arrival;
+    if (state_.settings.last_write_age_reported)
+        return arrival.last_write_age_us
+                   ? request.arrived_at - *arrival.last_write_age_us + kWriteAgeRoundingUs
+                   : 0;
+    const auto token = session_tokens_.find({arrival.replica_group, arrival.session});
+    if (token != session_tokens_.end()) return token->second;
+    return state_.group(arrival.replica_group).default_session_position;
+}
+
+void ReadConsistency::record_write(const Request& request, Time position) {
+    if (!request.arrival.session) return;
+    auto& token = session_tokens_[{request.arrival.replica_group, request.arrival.session}];
+    token = std::max(token, position);
+}
+
+bool ReadConsistency::is_met_by(const Endpoint& endpoint, const Request& request) const {
+    const auto& settings = state_.class_of(request);
+    if (settings.consistency == Consistency::any) return true;
+    const auto& group = state_.existing_group(endpoint.replica_group);
+    if (group.primary == endpoint.id && trusts_primary(endpoint)) return true;
+    const bool is_bounded = settings.consistency == Consistency::bounded_staleness;
+    const Time required = is_bounded ? state_.now - settings.staleness_bound_us : request.required_position;
+    if (required <= 0) return true;
+    const auto check = state_.settings.position_check;
+    const Time position = estimated_position(endpoint, group, check, state_.now);
+    // An endpoint that checks reads itself may be tried without knowing its position.
+    if (position < 0) return check != PositionCheck::none;
+    const bool waits = check == PositionCheck::wait && !is_bounded;
+    const Micros wait_us = waits ? state_.settings.position_wait_us / 2 : 0;
+    return position + wait_us >= required;
+}
+
+bool ReadConsistency::trusts_primary(const Endpoint& primary) const {
+    return primary.role == Role::primary || state_.startup.trusts_listed_primary();
+}
+
+void ReadConsistency::forget_passed_tokens(std::map<int, Time>& oldest_positions) {
+    for (auto token = session_tokens_.begin(); token != session_tokens_.end();) {
+        auto& group = state_.group(token->first.first);
+        if (token->second >= oldest_positions[group.id]) {
+            ++token;
+            continue;
+        }
+        group.default_session_position = std::max(group.default_session_position, token->second);
+        token = session_tokens_.erase(token);
+    }
+}
+
+}  // namespace sloestack::decision
--- /dev/null
+++ b/src/decision/request.h
@@ -0,0 +1,40 @@
+// A request that has arrived and has not been answered, rejected, failed or withdrawn.
+#pragma once
+
+#include <algorithm>
+#include <vector>
+
+#include "sloestack/router.h"
+
+namespace sloestack::decision {
+
+struct Attempt {
+    EndpointId endpoint = 0;
+    bool is_open = true;
+    bool may_have_run = true;  // false once its outcome proves that nothing was executed
+};
+
+struct Request {
+    Arrival arrival;
+    Time arrived_at = 0;
+    Time required_position = 0;  // what an endpoint must have applied to answer it; 0: anything will do
+    Time queued_until = 0;
+    bool is_queued = false;
+    bool had_error = false;  // an endpoint has answered with an error
+    std::vector<Attempt> attempts = {};
+    int open_attempts = 0;
+    // Why the last look for an endpoint found none.
+    RejectionReason blocked_reason = RejectionReason::no_eligible_endpoint;
+    // When and where the first attempt that may have run was forwarded.
+    Time first_effect_at = -1;
+    int first_effect_zone = 0;
+
+    RequestId id() const { return arrival.request; }
+    std::size_t class_index() const { return static_cast<std::size_t>(arrival.request_class); }
+    bool may_have_run() const {
+        return std::any_of(attempts.begin(), attempts.end(),
+                           [](const Attempt& attempt) { return attempt.may_have_run; });
+    }
+};
+
+}  // namespace sloestack::decision
--- /dev/null
+++ b/src/decision/router_state.cpp
@@ -0,0 +1,42 @@
+#include "router_state.h"
+
+#include <utility>
+
+namespace sloestack::decision {
+namespace {
+
+constexpr Micros kReadAdmissionWindowUs = 3'000'000;
+
+template <class Map>
+auto* find_in(Map& map, const typename Map::key_type& key) {
+    const auto found = map.find(key);
+    return found == map.end() ? nullptr : &found->second;
+}
+
+}  // namespace
+
+RouterState::RouterState(Settings router_settings, std::uint64_t seed)
+    : settings(std::move(router_settings)), random(seed), latency(settings.classes), startup(settings) {}
+
+Endpoint* RouterState::find_endpoint(EndpointId id) { return find_in(endpoints, id); }
+
+Request* RouterState::find_request(RequestId id) { return find_in(requests, id); }
+
+ReplicaGroup& RouterState::group(int id) {
+    auto& group = groups[id];
+    if (!group.queues.empty()) return group;
+    const ReadAdmissionState no_reads{DecayingRate(kReadAdmissionWindowUs),
+                                      DecayingRate(kReadAdmissionWindowUs)};
+    group.id = id;
+    group.default_session_position = started_at;
+    group.queues.resize(settings.classes.size());
+    group.read_admission.assign(settings.classes.size(), no_reads);
+    return group;
+}
+
+Log endpoint_log(const char* what, const Endpoint& endpoint, const char* why) {
+    return Log{what + std::to_string(endpoint.id) + " replica group " +
+               std::to_string(endpoint.replica_group) + why};
+}
+
+}  // namespace sloestack::decision
