--- a/emulator/callers.cpp
+++ b/emulator/callers.cpp
@@ -39,14 +39,14 @@
             else if (call == r.call)
                 event == Event::handled ? handled(r, who) : given_up(r, who);
         }
-        const auto due = [this](Time made) { return made + PollBackoff::kNotificationBound < s_.length; };
+        const auto due = [this](Time made) { return made + PollBackoff::kNotificationBoundUs < s_.length; };
         double pairs = 0, in_time = 0;
         for (std::size_t c = 0; c < made_.size(); ++c)
             for (const auto& r : routers_) {
                 const Time told = c < r.told.size() ? r.told[c] : s_.length;
                 if (!due(made_[c])) continue;
                 ++pairs;
-                in_time += told - made_[c] < PollBackoff::kNotificationBound;
+                in_time += told - made_[c] < PollBackoff::kNotificationBoundUs;
                 report_.last_told = std::max(report_.last_told, told - made_[c]);
             }
         if (pairs > 0) report_.told_in_time = in_time / pairs;
--- a/src/decision/discovery_poll_schedule.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -2,129 +2,145 @@
 
 #include <algorithm>
 
+#include "conversions.h"
+#include "split_mix.h"
+
 namespace sloestack::decision {
 namespace {
 
 // A duration that grows with the routers which share discovery, between two bounds.
-struct Share {
-    Micros a_router, least, most;
-    constexpr Micros of(int routers) const {
-        const Micros all = routers * a_router;
-        return all < least ? least : all > most ? most : all;
+struct ScaledDuration {
+    Micros per_router_us;
+    Micros min_us;
+    Micros max_us;
+    constexpr Micros of(int router_count) const {
+        const Micros scaled_us = router_count * per_router_us;
+        if (scaled_us < min_us) return min_us;
+        return scaled_us > max_us ? max_us : scaled_us;
     }
 };
-// At 1,700 routers each of these is at its most.
-constexpr Share kWindow{8'000, 700'000, 2'400'000};   // first calls: 125 a second of all that start at once
-constexpr Share kHold{12'000, 2'000'000, 3'400'000};  // held calls: 83 to 88 a second of 167 routers and more
-constexpr Share kShortPatience{6'000, 1'200'000, 1'800'000};  // behind a silence, which has taken its time
-constexpr Share kFirstBackOff{2'000, 300'000, 600'000};       // behind a call that nobody answered
-constexpr Micros kFirstRefused = 1'000'000;       // us; behind a refusal; each later one is twice as long
-constexpr Micros kHoldBehindRefusal = 1'800'000;  // us
-constexpr int kMostDoublings = 4;                 // beyond, `kBetween` binds
-constexpr int kShortCalls = 2;                    // as many have room behind a silence
-constexpr int kFew = 166;      // routers up to which one failure behind a silence is within the bound as well
-constexpr int kLessOften = 8;  // answered calls that take back what one usual hold has added
-
-constexpr Micros after_silence(int routers) {
-    return kHold.of(routers) + PollTimeouts::kHoldSlack + kShortPatience.of(routers);
+constexpr ScaledDuration kFirstPollWindow{8'000, 700'000,
+                                          2'400'000};  // 125 polls a second of routers that start
+constexpr ScaledDuration kHold{12'000, 2'000'000,
+                               3'400'000};  // 83 to 88 long polls a second from 167 routers
+constexpr ScaledDuration kShortTimeout{6'000, 1'200'000,
+                                       1'800'000};                // after a silence, which has taken its time
+constexpr ScaledDuration kFirstBackoff{2'000, 300'000, 600'000};  // after a poll that nobody answered
+constexpr Micros kFirstBackoffAfterRejectionUs = 1'000'000;       // doubles with each failure
+constexpr Micros kMaxHoldAfterRejectionUs = 1'800'000;
+constexpr int kMaxDoublings = 4;       // beyond it the poll interval binds
+constexpr int kShortPolls = 2;         // as many fit after a silence
+constexpr int kHoldRecoverySteps = 8;  // answered long polls that undo one extension of the hold
+constexpr Micros kMillisecondUs = 1'000;
+
+// Up to so many routers, one more failure after a silence is within the bound as well.
+constexpr int kFewRouters = 166;
+// From so many on, every scaled duration is at its maximum.
+constexpr int kManyRouters = 350;
+constexpr Micros kBoundUs = PollBackoff::kNotificationBoundUs;
+
+constexpr Micros after_silence_us(int router_count) {
+    return kHold.of(router_count) + PollTimeouts::kHoldSlackUs + kShortTimeout.of(router_count);
 }
-// The most of each share is reached by 350 routers; beyond, nothing grows.
-static_assert(after_silence(350) < PollBackoff::kNotificationBound, "told in time behind a silence");
-static_assert(PollBackoff::kMaxPollInterval + PollBackoff::kPollTimeout < PollBackoff::kNotificationBound,
-              "told in time behind a failure");
-static_assert(kWindow.of(350) + PollBackoff::kPollTimeout < PollBackoff::kNotificationBound,
-              "told in time from the start");
-static_assert(after_silence(kFew) + kFirstBackOff.of(kFew) + kShortPatience.of(kFew) <
-                  PollBackoff::kNotificationBound,
-              "a failure behind a silence is told in time");
-static_assert(kHoldBehindRefusal + PollBackoff::kPollTimeout + kShortPatience.of(350) <
-                  PollBackoff::kNotificationBound,
-              "a silence behind a refusal is told in time");
-static_assert(kHold.of(kFew) + PollTimeouts::kHoldSlack + kFirstRefused + PollBackoff::kPollTimeout <
-                  PollBackoff::kNotificationBound,
-              "a refusal behind a silence is told in time");
-
-// SplitMix64's finalizer (Steele, Lea and Flood 2014): at least 1 ms and at most `full` us, in whole ms.
-Micros first_hold(std::uint64_t seed, Micros full) {
-    auto x = seed + 0x9e3779b97f4a7c15u;
-    x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
-    x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
-    x ^= x >> 31;
-    const auto ms = static_cast<std::uint64_t>(std::max<Micros>(1, full / 1000));
-    return static_cast<Micros>(1 + x % ms) * 1000;
+static_assert(after_silence_us(kManyRouters) < kBoundUs, "notified in time after a silence");
+static_assert(PollBackoff::kMaxPollIntervalUs + PollBackoff::kPollTimeoutUs < kBoundUs,
+              "notified in time after a failure");
+static_assert(kFirstPollWindow.of(kManyRouters) + PollBackoff::kPollTimeoutUs < kBoundUs,
+              "notified in time from the start");
+static_assert(after_silence_us(kFewRouters) + kFirstBackoff.of(kFewRouters) + kShortTimeout.of(kFewRouters) <
+                  kBoundUs,
+              "notified in time after a silence and a failure");
+static_assert(kMaxHoldAfterRejectionUs + PollBackoff::kPollTimeoutUs + kShortTimeout.of(kManyRouters) <
+                  kBoundUs,
+              "notified in time after a rejection and a silence");
+static_assert(kHold.of(kFewRouters) + PollTimeouts::kHoldSlackUs + kFirstBackoffAfterRejectionUs +
+                      PollBackoff::kPollTimeoutUs <
+                  kBoundUs,
+              "notified in time after a silence and a rejection");
+
+// Whole milliseconds, at least one and at most `max_us`.
+Micros drawn_hold_us(std::uint64_t seed, Micros max_us) {
+    const auto milliseconds = static_cast<std::uint64_t>(std::max<Micros>(1, max_us / kMillisecondUs));
+    return static_cast<Micros>(1 + split_mix(seed + kSplitMixIncrement) % milliseconds) * kMillisecondUs;
 }
 
+Micros drawn_delay_us(double draw, Micros max_us) { return as_micros(draw * as_double(max_us)) + 1; }
+
 }  // namespace
 
 PollBackoff::PollBackoff(const Settings& settings)
-    : own_agent_(settings.discovery_agent_is_local),
-      window_(own_agent_ ? 0 : kWindow.of(settings.router_count)),
-      back_off_(kFirstBackOff.of(settings.router_count)) {}
+    : is_local_agent_(settings.discovery_agent_is_local),
+      first_poll_window_us_(is_local_agent_ ? 0 : kFirstPollWindow.of(settings.router_count)),
+      first_backoff_us_(kFirstBackoff.of(settings.router_count)) {}
 
 Micros PollBackoff::first_poll_delay(double draw) const {
-    return static_cast<Micros>(draw * static_cast<double>(window_)) + 1;
+    return drawn_delay_us(draw, first_poll_window_us_);
 }
 
-Micros PollBackoff::delay_after_failure(const FailedPoll& call, double draw) {
-    Micros most = kLocalAgentMaxBackoff;
-    if (!own_agent_) {
-        // A call that has been out for longer was held, and would have told of a change at once.
-        const Micros left =
-            kMaxPollInterval - std::min(kPollTimeout, call.duration_us.value_or(kPollTimeout));
-        most = (call.rejected ? kFirstRefused : back_off_) << std::min(failures_, kMostDoublings);
-        most = std::max<Micros>(0, std::min(most, left));
+Micros PollBackoff::delay_after_failure(const FailedPoll& poll, double draw) {
+    Micros max_us = kLocalAgentMaxBackoffUs;
+    if (!is_local_agent_) {
+        // A poll that took longer than the timeout was held, and would have told of a change at once.
+        const Micros taken_us = std::min(kPollTimeoutUs, poll.duration_us.value_or(kPollTimeoutUs));
+        const Micros first_us = poll.rejected ? kFirstBackoffAfterRejectionUs : first_backoff_us_;
+        max_us = first_us << std::min(failures_, kMaxDoublings);
+        max_us = std::max<Micros>(0, std::min(max_us, kMaxPollIntervalUs - taken_us));
     }
     ++failures_;
-    return static_cast<Micros>(draw * static_cast<double>(most)) + 1;
+    return drawn_delay_us(draw, max_us);
 }
 
 PollTimeouts::PollTimeouts(const Settings& settings, std::uint64_t seed) {
-    const int callers = settings.discovery_agent_is_local ? 1 : settings.router_count;
-    usual_hold_ = kHold.of(callers);
-    hold_ = first_hold(seed, usual_hold_);
-    short_ = kShortPatience.of(callers);
-    patience_ = settings.discovery_agent_is_local ? short_ : PollBackoff::kPollTimeout;
+    const int router_count = settings.discovery_agent_is_local ? 1 : settings.router_count;
+    usual_hold_us_ = kHold.of(router_count);
+    hold_us_ = drawn_hold_us(seed, usual_hold_us_);
+    short_timeout_us_ = kShortTimeout.of(router_count);
+    timeout_us_ = settings.discovery_agent_is_local ? short_timeout_us_ : PollBackoff::kPollTimeoutUs;
 }
 
 PollTimeouts::Next PollTimeouts::next() const {
-    switch (behind_) {
-        case Behind::answer:
-            return {hold_, hold_ + kHoldSlack};
-        case Behind::refusal: {
-            // One call in place of two. It may wait its turn at discovery before it is held.
-            const Micros hold = hold_ > usual_hold_ ? hold_ : std::min(hold_, kHoldBehindRefusal);
-            return {hold, hold + PollBackoff::kPollTimeout};
+    switch (last_result_) {
+        case LastResult::list:
+            return {hold_us_, hold_us_ + kHoldSlackUs};
+        case LastResult::rejection: {
+            // One poll in place of two. It may wait in discovery's queue before it is held.
+            const bool is_extended = hold_us_ > usual_hold_us_;
+            const Micros hold_us = is_extended ? hold_us_ : std::min(hold_us_, kMaxHoldAfterRejectionUs);
+            return {hold_us, hold_us + PollBackoff::kPollTimeoutUs};
         }
-        case Behind::nothing:
+        case LastResult::silence:
             break;
     }
-    return {0, short_left_ > 0 ? short_ : patience_};
+    return {0, short_polls_left_ > 0 ? short_timeout_us_ : timeout_us_};
 }
 
-void PollTimeouts::on_list(bool held) {
-    behind_ = Behind::answer;
-    short_left_ = 0;
-    if (!held) return;
-    held_refused_ = 0;
-    hold_ = std::max(usual_hold_, hold_ - usual_hold_ / kLessOften / 1000 * 1000);
+void PollTimeouts::on_list(bool was_held) {
+    last_result_ = LastResult::list;
+    short_polls_left_ = 0;
+    if (!was_held) return;
+    held_rejections_ = 0;
+    const Micros step_us = usual_hold_us_ / kHoldRecoverySteps / kMillisecondUs * kMillisecondUs;
+    hold_us_ = std::max(usual_hold_us_, hold_us_ - step_us);
 }
 
-// One held call is refused wherever discovery goes down or is overrun for a while; two in a row, with a call
-// between them that was answered, say that it bears no more held calls than this.
-void PollTimeouts::on_rejection(bool held) {
-    behind_ = Behind::refusal;
-    short_left_ = 0;  // its queue is full: whom it lets in waits long
-    if (held && ++held_refused_ > 1) hold_ = std::min(kMaxHold, 2 * std::max(hold_, usual_hold_));
+// One long poll is rejected wherever discovery goes down or is overloaded for a while; two in a row say that
+// it can hold no more of them than this.
+void PollTimeouts::on_rejection(bool was_held) {
+    last_result_ = LastResult::rejection;
+    short_polls_left_ = 0;  // its queue is full: polls that it lets in wait long
+    if (!was_held) return;
+    ++held_rejections_;
+    if (held_rejections_ > 1) hold_us_ = std::min(kMaxHoldUs, 2 * std::max(hold_us_, usual_hold_us_));
 }
 
-void PollTimeouts::on_silence(bool held) {
-    behind_ = Behind::nothing;
-    if (held) {
-        short_left_ = kShortCalls;
-        hold_ = std::max(usual_hold_, hold_);
-    } else {
-        short_left_ = std::max(0, short_left_ - 1);
+void PollTimeouts::on_silence(bool was_held) {
+    last_result_ = LastResult::silence;
+    if (!was_held) {
+        short_polls_left_ = std::max(0, short_polls_left_ - 1);
+        return;
     }
+    short_polls_left_ = kShortPolls;
+    hold_us_ = std::max(usual_hold_us_, hold_us_);
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/discovery_poll_schedule.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -1,24 +1,24 @@
-// When a router calls discovery for the list, and how long it waits for what: the one schedule of all calls.
-// Pure: time is not looked at, and draws are passed in. `PollBackoff` says when to call, `CallTimes` how long
-// a call may take; both go by what discovery has made of the calls before, which is all that a router knows
-// of how many others call and of what discovery bears.
+// When a router polls discovery for the endpoint list, and how long a poll may take: the one schedule of all
+// polls. Time is not looked at, and draws are passed in. `PollBackoff` says when to poll, `PollTimeouts` how
+// long a poll may take; both go by what became of the polls before, which is all that a router knows of how
+// many others poll and of what discovery can take.
 //
-// Whatever happens to calls, a change counts as told `kToldBy` after discovery had it and could be reached.
-// So the longest chain of waits between a change and the list that tells of it is bounded, constant by
-// constant (docs/design/crossings.md has the table):
+// Discovery holds a poll back ("long poll") for the time that the poll asks for, while it has nothing new.
 //
-//   a held call fell silent as the change came:  hold + kLate, then a call at once:  kShortPatience
-//   a call failed as the change came:            kBetween from its beginning to the next one's, then
-//   kPatience both, where few routers share discovery:     hold + kLate + kShortPatience + back-off +
-//   kShortPatience
+// Whatever happens to polls, a change counts as notified `kNotificationBoundUs` after discovery had it and
+// could be reached. So the longest chain of waits between a change and the list that tells of it is bounded;
+// the static assertions in the implementation spell the chains out (docs/design/crossings.md has the table):
 //
-// A call that discovery has let in is waited for longer than discovery itself lets one wait (2 s at most, by
-// the operators' settings): to give it up sooner and call again is work for nothing at discovery, and many
-// who do so keep its queue full for each other.
+//   a held poll fell silent as the change came:   hold + slack, then a poll at once with the short timeout
+//   a poll failed as the change came:             the poll interval, then the poll timeout
+//   both, where few routers share discovery:      hold + slack + short timeout + backoff + short timeout
 //
-// Where lists are pushed, discovery is an agent of this router's own that nobody else calls, and what it has
-// counts as told at once: it is called at the start, and again a tenth of a second after a failure at the
-// latest.
+// A poll that discovery has let in is waited for longer than discovery lets a poll wait in its own queue (2 s
+// at most, by the operators' settings): to abandon it sooner and poll again wastes discovery's work, and many
+// routers that do so keep its queue full for each other.
+//
+// Where lists are pushed, discovery is a local agent that no other router polls, and what it has counts as
+// notified at once: it is polled at the start, and again within 0.1 s of a failure.
 #pragma once
 
 #include <cstdint>
@@ -29,66 +29,65 @@
 
 class PollBackoff {
 public:
-    // Of the settings: how many routers, over 0, share discovery, and whether discovery is an agent of its
-    // own.
+    // Of the settings: how many routers, over 0, share discovery, and whether it is a local agent.
     explicit PollBackoff(const Settings& settings);
 
-    // From the start to the first call, us, at least 1; `draw` lies in [0, 1).
+    // From the start to the first poll, at least 1 us; `draw` lies in [0, 1).
     Micros first_poll_delay(double draw) const;
-    // A call has failed: from now to the next, us, at least 1. Exponential back-off with full jitter, longer
-    // behind a refusal: discovery is there and has too much to do.
-    Micros delay_after_failure(const FailedPoll& call, double draw);
-    // A list has been told: the next failure is the first again.
+    // From a failed poll's end to the next poll, at least 1 us. Exponential backoff with full jitter, longer
+    // after a rejection: discovery is there and has too much to do.
+    Micros delay_after_failure(const FailedPoll& poll, double draw);
+    // A list has come: the next failure is the first of a row again.
     void on_list_received() { failures_ = 0; }
 
-    static constexpr Micros kNotificationBound = 6'000'000;  // us; the operators' term
-    static constexpr Micros kPollTimeout =
-        2'300'000;  // us; discovery lets a call wait 2 s at most, and the way
-    static constexpr Micros kMaxPollInterval = 3'500'000;  // us; from a call that fails to the next, at most
-    static constexpr Micros kLocalAgentMaxBackoff = 100'000;
+    static constexpr Micros kNotificationBoundUs = 6'000'000;  // of the operators' rules
+    static constexpr Micros kPollTimeoutUs = 2'300'000;  // discovery's queue, 2 s, and the way there and back
+    static constexpr Micros kMaxPollIntervalUs =
+        3'500'000;  // from the beginning of a failed poll to the next
+    static constexpr Micros kLocalAgentMaxBackoffUs = 100'000;
 
 private:
-    bool own_agent_;
-    Micros window_, back_off_;  // back_off_: the longest first wait behind a call that nobody answered
-    int failures_ = 0;          // in a row
+    bool is_local_agent_;
+    Micros first_poll_window_us_;
+    Micros first_backoff_us_;  // the longest delay after a poll that nobody answered
+    int failures_ = 0;         // in a row
 };
 
 class PollTimeouts {
 public:
-    // `seed` tells this router from the others: how long its first held call is held is drawn by it, since
-    // watches that begin together else end together ever after. Many routers call less often, and those whose
-    // held calls are refused again and again less often still.
+    // `seed` tells this router from the others and draws how long its first long poll is held: polls that
+    // begin together would end together ever after. Many routers poll less often each, and those whose long
+    // polls are rejected again and again less often still.
     PollTimeouts(const Settings& settings, std::uint64_t seed);
 
-    // The next call, both us from its beginning, its connection included: how long discovery is to hold it
-    // back while there is nothing to tell, whole ms, 0 where it is to answer at once; and when it is given
-    // up.
+    // The next poll, both times from its beginning, its connection included.
     struct Next {
-        Micros hold_us, timeout_us;
+        Micros hold_us;     // discovery may hold it back so long, whole milliseconds; 0: it answers at once
+        Micros timeout_us;  // it is abandoned then
     };
     Next next() const;
 
-    // What became of the last call, which was held or not: it was answered by a list; it was refused by an
-    // answer that is none; nobody answered in time, or its connection broke.
-    void on_list(bool held);
-    void on_rejection(bool held);
-    void on_silence(bool held);
+    // What became of the last poll, which was held (`hold_us` over 0) or not.
+    void on_list(bool was_held);
+    void on_rejection(bool was_held);  // an answer that is no list
+    void on_silence(bool was_held);    // no answer in time, or its connection broke
     // Discovery is at another address: nothing is known of that one.
-    void on_address_change() { behind_ = Behind::nothing; }
+    void on_address_change() { last_result_ = LastResult::silence; }
 
-    static constexpr Micros kHoldSlack =
-        600'000;  // us; behind the hold: empty answers were at most 300 ms late
-    static constexpr Micros kMaxHold = 12'000'000;  // us; 0.09 calls a second and router
+    static constexpr Micros kHoldSlackUs = 600'000;  // after a hold: empty answers come up to 0.3 s late
+    static constexpr Micros kMaxHoldUs = 12'000'000;
 
 private:
-    // What is known of discovery. A call is held only behind an answer of whatever kind: of one that is held
-    // nothing shows up to its end.
-    enum class Behind { nothing, answer, refusal };
+    // A poll is held only after an answer of whatever kind: a long poll shows nothing until its end.
+    enum class LastResult { silence, list, rejection };
 
-    Behind behind_ = Behind::nothing;
-    Micros usual_hold_, hold_, short_, patience_;
-    int short_left_ = 0;    // calls behind a silence that are waited for less
-    int held_refused_ = 0;  // held calls in a row
+    LastResult last_result_ = LastResult::silence;
+    Micros usual_hold_us_;
+    Micros hold_us_;
+    Micros short_timeout_us_;
+    Micros timeout_us_;
+    int short_polls_left_ = 0;  // after a silence, polls with the short timeout
+    int held_rejections_ = 0;   // long polls rejected in a row
 };
 
 }  // namespace sloestack::decision
--- a/src/decision/endpoint_subset.cpp
+++ b/src/decision/endpoint_subset.cpp
@@ -3,41 +3,48 @@
 #include <algorithm>
 #include <cmath>
 
+#include "split_mix.h"
+
 namespace sloestack::decision {
 namespace {
 
-constexpr double kLinks = 150;     // routers that use one member first, all together: the budget
-constexpr std::size_t kLeast = 2;  // one that fails leaves another
-constexpr double kOwnZone = 2;     // x as likely as one of another zone, as in the draw of a member
-
-// SplitMix64's finalizer (Steele, Lea and Flood 2014).
-std::uint64_t mix(std::uint64_t x) {
-    x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
-    x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
-    return x ^ (x >> 31);
+constexpr double kRoutersPerEndpoint = 150;  // that use it first: bounds the connections to it
+constexpr std::size_t kMinSubsetSize = 2;    // one that fails leaves another
+constexpr double kOwnZoneWeight = 2;         // as in the load balancer's draw
+constexpr std::uint64_t kEndpointMultiplier = 0xd1342543de82ef95u;
+constexpr double kTwoToThe53 = 9007199254740992.0;
+
+// The candidates with the lowest scores are chosen.
+double score(std::uint64_t router_key, const SubsetCandidate& candidate, double weight) {
+    const auto router_hash = split_mix(router_key + kSplitMixIncrement);
+    const auto hash = split_mix(router_hash ^ (candidate.endpoint * kEndpointMultiplier));
+    const double unit = (static_cast<double>(hash >> 11) + 0.5) / kTwoToThe53;  // in (0, 1)
+    return -std::log(unit) / weight;
 }
 
 }  // namespace
 
-std::size_t subset_size(std::size_t members, int routers) {
-    const double share = std::ceil(static_cast<double>(members) * kLinks / routers);
-    return std::min(members, std::max(kLeast, static_cast<std::size_t>(share)));
+std::size_t subset_size(std::size_t endpoint_count, int router_count) {
+    const double share = std::ceil(static_cast<double>(endpoint_count) * kRoutersPerEndpoint / router_count);
+    return std::min(endpoint_count, std::max(kMinSubsetSize, static_cast<std::size_t>(share)));
 }
 
-std::vector<EndpointId> select_subset(std::uint64_t router, int zone,
-                                      const std::vector<SubsetCandidate>& members, int routers) {
-    std::vector<std::pair<double, EndpointId>> scored;
-    for (const auto& m : members) {
-        const auto drawn = mix(mix(router + 0x9e3779b97f4a7c15u) ^ (m.endpoint * 0xd1342543de82ef95u));
-        const double unit = (static_cast<double>(drawn >> 11) + 0.5) / 9007199254740992.0;  // 0 to 1, neither
-        scored.emplace_back(-std::log(unit) / (m.zone == zone ? kOwnZone : 1), m.endpoint);
+std::vector<EndpointId> select_subset(std::uint64_t router_key, int zone,
+                                      const std::vector<SubsetCandidate>& candidates, int router_count) {
+    if (candidates.empty()) return {};
+    std::vector<std::pair<double, EndpointId>> by_score;
+    by_score.reserve(candidates.size());
+    for (const auto& candidate : candidates) {
+        const double weight = candidate.zone == zone ? kOwnZoneWeight : 1;
+        by_score.emplace_back(score(router_key, candidate, weight), candidate.endpoint);
     }
-    std::sort(scored.begin(), scored.end());
-    scored.resize(members.empty() ? 0 : subset_size(members.size(), routers));
-    std::vector<EndpointId> out;
-    for (const auto& [score, server] : scored) out.push_back(server);
-    std::sort(out.begin(), out.end());
-    return out;
+    std::sort(by_score.begin(), by_score.end());
+    by_score.resize(subset_size(candidates.size(), router_count));
+    std::vector<EndpointId> chosen;
+    chosen.reserve(by_score.size());
+    for (const auto& [lowest, endpoint] : by_score) chosen.push_back(endpoint);
+    std::sort(chosen.begin(), chosen.end());
+    return chosen;
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/interface.cpp
+++ b/src/decision/interface.cpp
@@ -7,8 +7,8 @@
 namespace sloestack::decision {
 
 void validate(const Settings& s) {
-    const auto want = [](bool ok, const char* key) {
-        if (!ok) throw std::invalid_argument(std::string(key) + ": absent or out of range");
+    const auto want = [](bool is_valid, const char* key) {
+        if (!is_valid) throw std::invalid_argument(std::string(key) + ": absent or out of range");
     };
     want(!s.classes.empty(), "classes");
     for (const auto& c : s.classes) {
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -52,7 +52,10 @@
     Endpoint* least_slow = nullptr;  // of the crowded ones, for long reads
     double total_weight = 0;
 
-    bool empty() const { return !drawn && !least_slow; }
+    void note_crowded(Endpoint& endpoint, Time now) {
+        if (!least_slow || latency_ratio(endpoint, now) < latency_ratio(*least_slow, now))
+            least_slow = &endpoint;
+    }
 };
 
 LoadBalancer::LoadBalancer(RouterState& state, const RetryPolicy& retry_policy, const SlowStart& slow_start,
@@ -93,16 +96,20 @@
     ReadCandidates candidates;
     candidates.is_long_read = state_.class_of(request).consistency == Consistency::any &&
                               state_.usual_us(request) > kLongReadFactor * state_.latency.shortest_usual_us();
-    // Those of this router's subset first; the others only where the subset has none.
-    for (const bool in_subset : {true, false}) {
-        if (!candidates.empty()) break;
-        for (const auto id : group.members) {
-            auto& endpoint = state_.endpoints.at(id);
-            if (endpoint.is_in_subset != in_subset) continue;
-            const auto verdict = consider(endpoint, group, request, candidates);
-            if (verdict == Verdict::taken) return {&endpoint};
-            if (verdict == Verdict::trial) return {&endpoint, true};
-        }
+    // The endpoints of this router's subset first; the others only where the subset has none.
+    auto choice = choose_from(true, group, request, candidates);
+    if (!choice.endpoint) choice = choose_from(false, group, request, candidates);
+    return choice;
+}
+
+EndpointChoice LoadBalancer::choose_from(bool in_subset, ReplicaGroup& group, Request& request,
+                                         ReadCandidates& candidates) {
+    for (const auto id : group.members) {
+        auto& endpoint = state_.endpoints.at(id);
+        if (endpoint.is_in_subset != in_subset) continue;
+        const auto verdict = consider(endpoint, group, request, candidates);
+        if (verdict == Verdict::taken) return {&endpoint};
+        if (verdict == Verdict::trial) return {&endpoint, true};
     }
     return {candidates.least_slow ? candidates.least_slow : candidates.drawn};
 }
@@ -111,22 +118,16 @@
                                              ReadCandidates& candidates) {
     if (!is_eligible(endpoint, request)) return Verdict::skipped;
     if (endpoint.outlier.is_ejected) return consider_ejected(endpoint, group, request);
-    const auto& settings = state_.class_of(request);
-    const double ratio = latency_ratio(endpoint, state_.now);
-    const bool is_crowded =
-        ratio * state_.usual_us(request) >= kCrowdedObjectiveRatio * as_double(settings.latency_objective_us);
     const bool is_primary = group.primary == endpoint.id;
-    const bool is_spared = is_primary && settings.consistency != Consistency::linearizable;
-    const bool is_starting = slow_start_.is_active(endpoint, state_.now);
-    const double share = is_spared ? kPrimaryReadCapacityShare : 1;
-    if ((is_spared && (is_crowded || is_starting)) || !has_capacity(endpoint, request, share)) {
+    const bool is_crowded = this->is_crowded(endpoint, request);
+    if (!may_take_read(endpoint, request, is_primary, is_crowded)) {
+        const bool is_starting = slow_start_.is_active(endpoint, state_.now);
         note_blocked(request, is_starting ? RejectionReason::slow_start : RejectionReason::at_capacity);
         return Verdict::skipped;
     }
     if (candidates.is_long_read && !is_primary) {
         if (!is_crowded) return Verdict::taken;
-        auto*& least_slow = candidates.least_slow;
-        if (!least_slow || ratio < latency_ratio(*least_slow, state_.now)) least_slow = &endpoint;
+        candidates.note_crowded(endpoint, state_.now);
     }
     const double weight = draw_weight(endpoint, request, is_primary);
     candidates.total_weight += weight;
@@ -134,6 +135,21 @@
     return Verdict::weighed;
 }
 
+bool LoadBalancer::is_crowded(const Endpoint& endpoint, const Request& request) const {
+    const double expected_us = latency_ratio(endpoint, state_.now) * state_.usual_us(request);
+    const double objective_us = as_double(state_.class_of(request).latency_objective_us);
+    return expected_us >= kCrowdedObjectiveRatio * objective_us;
+}
+
+// The primary is spared for writes, but for reads that ask for it.
+bool LoadBalancer::may_take_read(Endpoint& endpoint, const Request& request, bool is_primary,
+                                 bool is_crowded) {
+    const bool is_spared = is_primary && state_.class_of(request).consistency != Consistency::linearizable;
+    if (!is_spared) return has_capacity(endpoint, request, 1);
+    if (is_crowded || slow_start_.is_active(endpoint, state_.now)) return false;
+    return has_capacity(endpoint, request, kPrimaryReadCapacityShare);
+}
+
 bool LoadBalancer::is_eligible(Endpoint& endpoint, Request& request) {
     if (!retry_policy_.may_use(request, endpoint, state_.now)) return false;
     const bool was_tried_last = !request.attempts.empty() && request.attempts.back().endpoint == endpoint.id;
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -35,8 +35,12 @@
 
     EndpointChoice choose_for_write(ReplicaGroup& group, Request& request);
     EndpointChoice choose_for_read(ReplicaGroup& group, Request& request);
+    EndpointChoice choose_from(bool in_subset, ReplicaGroup& group, Request& request,
+                               ReadCandidates& candidates);
     Verdict consider(Endpoint& endpoint, ReplicaGroup& group, Request& request, ReadCandidates& candidates);
     bool is_eligible(Endpoint& endpoint, Request& request);
+    bool is_crowded(const Endpoint& endpoint, const Request& request) const;
+    bool may_take_read(Endpoint& endpoint, const Request& request, bool is_primary, bool is_crowded);
     Verdict consider_ejected(Endpoint& endpoint, const ReplicaGroup& group, Request& request);
     // Whether the endpoint has `share` of its capacity for this router to spare for the request.
     bool has_capacity(Endpoint& endpoint, const Request& request, double share);
--- a/src/decision/primary_tracker.cpp
+++ b/src/decision/primary_tracker.cpp
@@ -84,9 +84,7 @@
     int candidates = 0;
     for (const auto id : group.members) {
         auto& endpoint = state_.endpoints.at(id);
-        if (endpoint.outlier.is_ejected || state_.zones.is_silent(endpoint.zone)) continue;
-        if (endpoint.role == Role::replica && state_.now - endpoint.role_at < kRoleTtlUs) continue;
-        if (!retry_policy_.may_use(request, endpoint, state_.now)) continue;
+        if (!may_be_primary(endpoint) || !retry_policy_.may_use(request, endpoint, state_.now)) continue;
         if (!slow_start_.admits(endpoint, group, state_.work_s(request), state_.now, state_.random)) continue;
         ++candidates;
         if (state_.random.unit() * candidates < 1) drawn = &endpoint;
@@ -95,6 +93,11 @@
     return drawn;
 }
 
+bool PrimaryTracker::may_be_primary(const Endpoint& endpoint) const {
+    if (endpoint.outlier.is_ejected || state_.zones.is_silent(endpoint.zone)) return false;
+    return endpoint.role != Role::replica || state_.now - endpoint.role_at >= kRoleTtlUs;
+}
+
 void PrimaryTracker::on_first_use(ReplicaGroup& group, Actions& actions) {
     if (group.health_checked_at >= 0 || !state_.settings.health_checks_allowed) return;
     health_check_members(group, first_check_probability_, actions);
--- a/src/decision/primary_tracker.h
+++ b/src/decision/primary_tracker.h
@@ -29,6 +29,7 @@
     void renew_health_checks(ReplicaGroup& group, bool is_confirmed, Actions& actions);
 
 private:
+    bool may_be_primary(const Endpoint& endpoint) const;
     // Checks each member with that probability: of a budget for all routers each has a share, which is mostly
     // less than one check.
     void health_check_members(ReplicaGroup& group, double probability, Actions& actions);
--- a/src/decision/startup_phase.cpp
+++ b/src/decision/startup_phase.cpp
@@ -11,33 +11,40 @@
 
 void StartupPhase::on_list_received() {
     if (state_ != State::cold) return;
-    state_ = State::learning, told_of_ = false;
-    judge();
+    enter(State::learning);
+    serve_once_confirmed();
 }
 
-void StartupPhase::on_request(int group) {
-    if (state_ != State::serving) asked_.insert(group);
+void StartupPhase::on_request(int replica_group) {
+    if (state_ != State::serving) requested_groups_.insert(replica_group);
 }
 
-void StartupPhase::on_role_reported(int group) {
+void StartupPhase::on_role_reported(int replica_group) {
     if (state_ == State::serving) return;
-    heard_.insert(group);
-    judge();
+    confirmed_groups_.insert(replica_group);
+    serve_once_confirmed();
 }
 
-void StartupPhase::judge() {
-    if (state_ != State::learning || asked_.empty()) return;
-    const auto known =
-        std::count_if(asked_.begin(), asked_.end(), [this](int g) { return heard_.count(g) > 0; });
-    if (static_cast<double>(known) < kConfirmedGroupRatio * static_cast<double>(asked_.size())) return;
-    state_ = State::serving, told_of_ = false;
-    asked_.clear(), heard_.clear();
+void StartupPhase::serve_once_confirmed() {
+    if (state_ != State::learning || requested_groups_.empty()) return;
+    const auto confirmed = std::count_if(requested_groups_.begin(), requested_groups_.end(),
+                                         [this](int group) { return confirmed_groups_.count(group) > 0; });
+    const auto requested = static_cast<double>(requested_groups_.size());
+    if (static_cast<double>(confirmed) < kConfirmedGroupRatio * requested) return;
+    enter(State::serving);
+    requested_groups_.clear();
+    confirmed_groups_.clear();
 }
 
-std::optional<std::string> StartupPhase::take_transition(Micros since_start) {
-    if (std::exchange(told_of_, true)) return std::nullopt;
-    return (state_ == State::learning ? "startup phase: learning after " : "startup phase: serving after ") +
-           std::to_string(since_start / 1000) + " ms";
+void StartupPhase::enter(State state) {
+    state_ = state;
+    is_transition_logged_ = false;
+}
+
+std::optional<std::string> StartupPhase::take_transition(Micros since_start_us) {
+    if (std::exchange(is_transition_logged_, true)) return std::nullopt;
+    const char* state = state_ == State::learning ? "learning" : "serving";
+    return std::string("startup phase: ") + state + " after " + std::to_string(since_start_us / 1000) + " ms";
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/startup_phase.h
+++ b/src/decision/startup_phase.h
@@ -1,15 +1,12 @@
-// What a router that has just started may believe: one state machine a process. Pure: time is not looked at.
-// When it calls discovery, while hundreds of others start beside it, is the schedule's
-// (decision/discovery_poll_schedule).
+// What a router that has just started may believe. Time is not looked at.
 //
 //   cold      serves by the list from before its start, as old as that may be
-//   learning  discovery has told it a list since; members are known by what the list says of them
-//   serving   of nine in ten groups that clients have asked for, a member has said itself what it is
+//   learning  discovery has sent a list since; endpoints are known by what the list says of them
+//   serving   in nine of ten replica groups that clients ask for, an endpoint has reported its own role
 //
-// It moves on by evidence alone, never by time, and never back. What each state allows is at the functions.
+// It moves on by evidence alone, never by time, and never back.
 #pragma once
 
-#include <cstdint>
 #include <optional>
 #include <set>
 #include <string>
@@ -22,31 +19,33 @@
 public:
     enum class State { cold, learning, serving };
 
-    // Of the settings: whether members check reads, and whether they can be asked.
+    // Of the settings: whether endpoints check reads, and whether health checks report their status.
     explicit StartupPhase(const Settings& settings);
 
-    // ---- evidence ----
-    void on_list_received();           // a list, whole or changes, that discovery has told since the start
-    void on_request(int group);        // a client's request has come for it
-    void on_role_reported(int group);  // a member of it has said itself whether it is a primary or a replica
+    void on_list_received();             // a list, whole or changes, that discovery has sent since the start
+    void on_request(int replica_group);  // a client has asked for the group
+    void on_role_reported(
+        int replica_group);  // an endpoint of it has reported whether it is primary or replica
     State state() const { return state_; }
-    // Told once for each state that is reached: a line for the log; `since_start` in us, at least 0.
-    std::optional<std::string> take_transition(Micros since_start);
+    // A log line for each state that is reached, once. `since_start_us` is at least 0.
+    std::optional<std::string> take_transition(Micros since_start_us);
 
-    // ---- what is believed ----
-    // Whether a member counts as its group's primary for reads because a list says so, before it has said so
-    // itself. The list may be that of before the start, as old as can be: only where members turn away what
-    // they are too far behind for, or where nobody can be asked.
+    // Whether reads take an endpoint for their group's primary because a list says so, before it has said so
+    // itself. The list may be that of before the start: only where endpoints reject reads that they lag for,
+    // or where none can be asked.
     bool trusts_listed_primary() const { return trusts_listed_primary_; }
 
     static constexpr double kConfirmedGroupRatio = 0.9;  // of the groups asked for: one may be out of reach
 
 private:
-    void judge();
+    void enter(State state);
+    void serve_once_confirmed();
 
-    bool trusts_listed_primary_, told_of_ = true;
+    bool trusts_listed_primary_;
     State state_ = State::cold;
-    std::set<int> asked_, heard_;  // emptied once serving
+    bool is_transition_logged_ = true;
+    std::set<int> requested_groups_;  // both emptied once serving
+    std::set<int> confirmed_groups_;
 };
 
 }  // namespace sloestack::decision
--- a/src/decision/zone_health.h
+++ b/src/decision/zone_health.h
@@ -1,4 +1,5 @@
-// Evidence summed over the members of a zone: that none of them is heard any more. Pure: time comes in.
+// Evidence, summed over the endpoints of a zone, that none of them answers any more. Time comes in; nothing
+// is drawn here.
 #pragma once
 
 #include <map>
@@ -10,31 +11,40 @@
 
 class ZoneHealth {
 public:
-    struct PendingAttempt {  // an attempt that is out
+    // An attempt that has not ended.
+    struct PendingAttempt {
         int zone = 0;
         EndpointId endpoint = 0;
         Time sent_at = 0;
         double expected_us = 0;  // over 0
     };
-    // A member of the zone has answered, whatever it said; true if the zone was taken for silent till now.
+    // An endpoint of the zone has answered, whatever it said; true if the zone was silent till now.
     bool on_answer(Time now, int zone);
     // An attempt ended after `waited_us` without an answer.
-    void on_timeout(Time now, int zone, EndpointId server, double waited_us, double expected_us);
-    // The zones that are taken for silent from now on.
-    std::vector<int> find_newly_silent(Time now, const std::vector<PendingAttempt>& out);
+    void on_timeout(Time now, int zone, EndpointId endpoint, double waited_us, double expected_us);
+    // The zones that are silent from now on. One endpoint may hang, and a slow one still answers: a zone is
+    // silent only where several endpoints are waited for in vain while another zone answers.
+    std::vector<int> find_newly_silent(Time now, const std::vector<PendingAttempt>& pending);
     bool is_silent(int zone) const;
-    // Of the silent zones, one at a time, that may be asked whether it is back: by all routers together one
-    // every kTrialEvery, by each so much more seldom, from a moment drawn by its seed (`draw`, 0 to 1).
-    std::vector<int> due_health_checks(Time now, int routers, double draw);
+    // The silent zones of which one endpoint is to be checked now. All routers together check a zone every 3
+    // ms, each at a pace that is drawn by `draw`, in [0, 1).
+    std::vector<int> due_health_checks(Time now, int router_count, double draw);
 
 private:
     struct Zone {
-        Time answered_at = -1, lost_at = -1, silent_since = -1, trial_at = 0;
-        double lost = 0;  // expected latencies waited for nothing since the last answer
-        EndpointId first = 0;
-        bool several = false;  // members, that is
-        void add(EndpointId server, double evidence);
+        Time answered_at = -1;
+        Time evidence_at = -1;  // when evidence was last added
+        Time silent_since = -1;
+        Time next_check_at = 0;
+        double evidence = 0;  // expected latencies waited for in vain since the last answer
+        EndpointId first_endpoint = 0;
+        bool several_endpoints = false;
+
+        bool is_silent() const { return silent_since >= 0; }
+        void add_evidence(EndpointId endpoint, double amount);
     };
+    bool another_zone_answers(Time now, int zone) const;
+
     std::map<int, Zone> zones_;
 };
 
--- a/src/fleet/discovery/watch.cpp
+++ b/src/fleet/discovery/watch.cpp
@@ -50,7 +50,7 @@
     reused_ = connection_ != nullptr;
     if (connection_) return write_call();
     up_ = false;
-    const auto connected_by = begun_at_ + std::min(next_.timeout_us, decision::PollBackoff::kPollTimeout);
+    const auto connected_by = begun_at_ + std::min(next_.timeout_us, decision::PollBackoff::kPollTimeoutUs);
     patience_.set(deadlines_, connected_by, [this] { failed("cannot connect in time"); });
     connection_ = net::Connection::open(loop_, at_, kMostUnread, *this);
     if (!connection_) failed("no socket");
--- a/src/state/hot_restart/hot_restart.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-constexpr Micros kPollTimeout = 2'500'000;  // for a predecessor's welcome; the platform waits 6 s for a yes
+constexpr Micros kPollTimeoutUs = 2'500'000;  // for a predecessor's welcome; the platform waits 6 s for a yes
 constexpr Micros kFitting = 1'000'000;      // for the requests that hold what is over the share
 constexpr Micros kLook = 10'000;
 constexpr Micros kHeldBy = 300'000;  // for the other process to say that a call holds
@@ -92,7 +92,7 @@
     ties_.push_back(std::move(tie));
     count();
     // One that hangs must not keep the new process from serving.
-    patience_.set(deadlines_, deadlines_.now() + kPollTimeout, [this] {
+    patience_.set(deadlines_, deadlines_.now() + kPollTimeoutUs, [this] {
         log::line("predecessor", "handshake timed out");
         begin();
     });
--- a/tests/decision/discovery_poll_schedule_test.cpp
+++ b/tests/decision/discovery_poll_schedule_test.cpp
@@ -41,7 +41,7 @@
 // How discovery may fail a call, and after how long: at once, in its queue, or not at all.
 constexpr Micros kQueue = 2'000'000;
 const FailedPoll kFates[] = {
-    {true, 0},  {true, kQueue}, {true, 9'000'000}, {false, 0}, {false, PollBackoff::kPollTimeout},
+    {true, 0},  {true, kQueue}, {true, 9'000'000}, {false, 0}, {false, PollBackoff::kPollTimeoutUs},
     {false, {}}};
 
 // From the beginning of a call that fails so to the next one's, at most, however many have failed before it.
@@ -51,7 +51,7 @@
     for (int i = 0; i < 20; ++i) most = std::max(most, c.delay_after_failure(fate, kHighest));
     // One that has been out for longer than any queue lets it wait was held: it had told of all before its
     // end.
-    return most + std::min(PollBackoff::kPollTimeout, fate.duration_us.value_or(PollBackoff::kPollTimeout));
+    return most + std::min(PollBackoff::kPollTimeoutUs, fate.duration_us.value_or(PollBackoff::kPollTimeoutUs));
 }
 
 // One whose held call has been answered; its next call is held.
@@ -66,28 +66,28 @@
     for (int routers = 1; routers <= 2000; ++routers)
         for (const auto& s : {of(routers), pushed(routers)}) {
             const Micros patience = PollTimeouts(s, 1).next().timeout_us;
-            EXPECT_LE(patience, PollBackoff::kPollTimeout);
+            EXPECT_LE(patience, PollBackoff::kPollTimeoutUs);
             auto t = watching(s);
             const Micros silent = t.next().timeout_us;
             t.on_silence(true);
             const Micros behind_silence = t.next().timeout_us;
-            EXPECT_LT(silent + behind_silence, PollBackoff::kNotificationBound) << routers;
+            EXPECT_LT(silent + behind_silence, PollBackoff::kNotificationBoundUs) << routers;
             for (const auto& fate : kFates)
-                EXPECT_LT(longest_between(s, fate) + patience, PollBackoff::kNotificationBound) << routers;
-            EXPECT_LT(PollBackoff(s).first_poll_delay(kHighest) + patience, PollBackoff::kNotificationBound)
+                EXPECT_LT(longest_between(s, fate) + patience, PollBackoff::kNotificationBoundUs) << routers;
+            EXPECT_LT(PollBackoff(s).first_poll_delay(kHighest) + patience, PollBackoff::kNotificationBoundUs)
                 << routers;
             auto refused = watching(s);
             refused.on_rejection(false);
-            EXPECT_LT(refused.next().timeout_us + behind_silence, PollBackoff::kNotificationBound) << routers;
+            EXPECT_LT(refused.next().timeout_us + behind_silence, PollBackoff::kNotificationBoundUs) << routers;
             if (routers > 166 && !s.discovery_agent_is_local) continue;
             for (const auto& fate : {kFates[0], kFates[3], FailedPoll{false, behind_silence}}) {
                 auto after = t;
                 fate.rejected ? after.on_rejection(false) : after.on_silence(false);
                 const Micros answered_by =
-                    fate.rejected ? PollBackoff::kPollTimeout : after.next().timeout_us;
+                    fate.rejected ? PollBackoff::kPollTimeoutUs : after.next().timeout_us;
                 EXPECT_LT(silent + *fate.duration_us + PollBackoff(s).delay_after_failure(fate, kHighest) +
                               answered_by,
-                          PollBackoff::kNotificationBound)
+                          PollBackoff::kNotificationBoundUs)
                     << routers;
             }
         }
@@ -127,7 +127,7 @@
     t.on_list(true);
     EXPECT_EQ(t.next().hold_us, 2'000'000) << "one alone says nothing";
     for (int i = 0; i < 9; ++i) t.on_rejection(true);
-    EXPECT_EQ(t.next().hold_us, PollTimeouts::kMaxHold);
+    EXPECT_EQ(t.next().hold_us, PollTimeouts::kMaxHoldUs);
     for (int i = 0; i < 40; ++i) t.on_list(true);
     EXPECT_EQ(t.next().hold_us, 2'000'000) << "and less again, step by step";
 }
@@ -139,7 +139,7 @@
         EXPECT_EQ(c.first_poll_delay(kHighest), 1);
         for (int i = 0; i < 10; ++i)
             for (const auto& fate : kFates)
-                EXPECT_LE(c.delay_after_failure(fate, kHighest), PollBackoff::kLocalAgentMaxBackoff);
+                EXPECT_LE(c.delay_after_failure(fate, kHighest), PollBackoff::kLocalAgentMaxBackoffUs);
         EXPECT_EQ(watching(pushed(routers)).next().hold_us, watching(of(1)).next().hold_us);
     }
 }
@@ -168,8 +168,8 @@
     for (int i = 0; i < 300; ++i) {
         PollBackoff c(of(300));
         for (Micros t = c.first_poll_delay(unit(random)); t < 30'000'000;
-             t += PollBackoff::kPollTimeout +
-                  c.delay_after_failure({false, PollBackoff::kPollTimeout}, unit(random)))
+             t += PollBackoff::kPollTimeoutUs +
+                  c.delay_after_failure({false, PollBackoff::kPollTimeoutUs}, unit(random)))
             at.push_back(t);
     }
     EXPECT_LE(most_in_a_second(at), 190u);
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -161,7 +161,7 @@
 void tell_of_the_drain(World& w, Time changed_at, const std::string& what) {
     w.answer(whole(list(9, "terminating", false)));
     EXPECT_TRUE(w.until([&] { return w.state == sloestack::decision::EndpointState::draining; })) << what;
-    EXPECT_LT(w.told_at - changed_at, PollBackoff::kNotificationBound) << what;
+    EXPECT_LT(w.told_at - changed_at, PollBackoff::kNotificationBoundUs) << what;
 }
 
 // A member begins to drain in the moment in which the watch falls silent.
