--- a/src/decision/interface.cpp
+++ b/src/decision/interface.cpp
@@ -1,26 +1,27 @@
-// What of the interface is no decision: whether settings can be run, and names as operators read them.
-// Interface: include/sloestack/router.h
+// The parts of the interface that decide nothing: the validation of settings and the names in the metrics.
 #include <stdexcept>
 
 #include "sloestack/router.h"
 
 namespace sloestack::decision {
 
-void validate(const Settings& s) {
-    const auto want = [](bool is_valid, const char* key) {
+void validate(const Settings& settings) {
+    const auto require = [](bool is_valid, const char* key) {
         if (!is_valid) throw std::invalid_argument(std::string(key) + ": absent or out of range");
     };
-    want(!s.classes.empty(), "classes");
-    for (const auto& c : s.classes) {
-        want(c.latency_objective_us > 0, "classes.aim");
-        want(c.deadline_us > 0, "classes.deadline");
-        want(c.consistency != Consistency::bounded_staleness || c.staleness_bound_us > 0,
-             "classes.staleness-bound");
-        want(c.idempotency != Idempotency::keyed || c.idempotency_window_us > 0, "classes.repeat-window");
+    require(!settings.classes.empty(), "classes");
+    for (const auto& request_class : settings.classes) {
+        const bool is_bounded = request_class.consistency == Consistency::bounded_staleness;
+        const bool is_keyed = request_class.idempotency == Idempotency::keyed;
+        require(request_class.latency_objective_us > 0, "classes.aim");
+        require(request_class.deadline_us > 0, "classes.deadline");
+        require(!is_bounded || request_class.staleness_bound_us > 0, "classes.staleness-bound");
+        require(!is_keyed || request_class.idempotency_window_us > 0, "classes.repeat-window");
     }
-    want(s.router_count > 0, "routers");
-    want(s.max_attempts > 0, "max-attempts");
-    want(s.slow_start_min_capacity_ratio > 0 && s.slow_start_min_capacity_ratio <= 1, "cold-share");
+    const double min_ratio = settings.slow_start_min_capacity_ratio;
+    require(settings.router_count > 0, "routers");
+    require(settings.max_attempts > 0, "max-attempts");
+    require(min_ratio > 0 && min_ratio <= 1, "cold-share");
 }
 
 const char* metric_name(Outcome outcome) {
