--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -99,8 +99,8 @@
       account_(net::bytes_for_clients(config.memory_mb)),
       room_(net::bytes_for_clients(config.memory_mb)),
       numbers_(config.settings.class_names),
-      proxy_(deadlines_, module_settings(config.settings.router), config.seed, numbers_),
-      pool_(loop_, deadlines_, members_, pool_settings(loop_, config.settings), proxy_, numbers_),
+      dispatch_loop_(deadlines_, module_settings(config.settings.router), config.seed, numbers_),
+      pool_(loop_, deadlines_, members_, pool_settings(loop_, config.settings), dispatch_loop_, numbers_),
       lists_(config.settings.zone_names),
       known_(known_list(lists_, config.known)),
       discovery_(config.discovery_in_file),
@@ -108,11 +108,11 @@
     watch_ = std::make_unique<discovery::Watch>(
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
         bans_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
-    proxy_.attach({pool_, [this] { watch_->start(); },
-                   [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
+    dispatch_loop_.set_targets({pool_, [this] { watch_->start(); },
+                                [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
-        room_, numbers_, downstream::Entrance{config.listen, config.passed_socket}, proxy_,
+        room_, numbers_, downstream::Entrance{config.listen, config.passed_socket}, dispatch_loop_,
         config.settings.class_names, overlapping(config.settings.router),
         sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
@@ -133,7 +133,7 @@
 void Server::begin() {
     bans_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.members));
     begun_ = true;
-    proxy_.turn();
+    dispatch_loop_.run_iteration();
     if (!waits_for_list_) client_listener_->open();
 }
 
@@ -154,9 +154,9 @@
 // ---- what operators call ----
 std::string Server::figures() const {
     metrics::State now;
-    now.active = proxy_.open_requests();
+    now.active = dispatch_loop_.open_request_count();
     now.pool_size = bans_.listed_members();
-    now.pool_ejected = bans_.listed_and_banned() + proxy_.members_avoided();
+    now.pool_ejected = bans_.listed_and_banned() + dispatch_loop_.ejected_endpoint_count();
     return numbers_.json(now);
 }
 
@@ -178,7 +178,7 @@
 void Server::turn(Micros at_most) {
     if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
     loop_.run_once(at_most);
-    proxy_.turn();
+    dispatch_loop_.run_iteration();
     // What the agent has counts as told from the first moment on, so clients come in behind its first word.
     if (waits_for_list_ && begun_ && watch_->has_called()) {
         waits_for_list_ = false;
@@ -218,7 +218,7 @@
     if (kDebug)
         log::line("table sizes", std::to_string(client_listener_->sessions()) + " clients, " +
                                      std::to_string(pool_.links()) + " links, " +
-                                     std::to_string(proxy_.open_requests()) + " requests, " +
+                                     std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
                                      std::to_string(lists_.names()) + " names, " +
                                      std::to_string(deadlines_.size()) + " deadlines, " +
                                      std::to_string(account_.held()) + " bytes");
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -32,7 +32,7 @@
     bool over() const { return client_listener_->over(); }
     // Whether a list is held and clients are accepted.
     bool ready() const override {
-        return proxy_.has_ready_endpoints() && client_listener_ && client_listener_->accepting();
+        return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
     std::uint16_t control_port() const { return control_->port(); }  // where there is such a door
@@ -64,8 +64,8 @@
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
     net::Room room_;            // for large statements
     metrics::Numbers numbers_;
-    dispatch::Proxy proxy_;
-    exclusions::Bans bans_{proxy_};
+    dispatch::DispatchLoop dispatch_loop_;
+    exclusions::Bans bans_{dispatch_loop_};
     upstream::Pool pool_;
     discovery::Reader lists_;
     discovery::List known_;  // until it begins
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -1,14 +1,19 @@
-// The turn: gathers what has happened, has the decision module decide once, and carries its decisions out.
-// It decides nothing itself, and knows clients and members only by the interfaces in traffic.
+// One iteration of the event loop: the events gathered since the last one go to the decision module in one
+// step, and its actions are carried out. The loop decides nothing itself; it knows the client side and the
+// endpoint side only by the interfaces in core/traffic.
+//
+//   dispatch_loop.cpp  the iteration
+//   inputs.cpp         callbacks of the client side, the endpoint side and discovery, turned into events
+//   actions.cpp        the decision module's actions
 #pragma once
 
 #include <functional>
 #include <optional>
-#include <unordered_map>
 #include <unordered_set>
 #include <vector>
 
 #include "deadlines/deadlines.h"
+#include "dispatch_loop/open_requests.h"
 #include "metrics/metrics.h"
 #include "sloestack/router.h"
 #include "traffic/attempt.h"
@@ -17,83 +22,81 @@
 
 namespace sloestack::dispatch {
 
-// What the proxy can act on; named once all of it stands.
-struct Hands {
-    traffic::AttemptSender& members;
-    std::function<void()> watch_list;
-    std::function<void(decision::EndpointListKind, const std::vector<traffic::ListedEndpoint>&)> list_changed;
+// Where actions and endpoint lists go. What is referred to must outlive the loop's last iteration.
+struct ActionTargets {
+    traffic::AttemptSender& attempt_sender;
+    std::function<void()> poll_discovery;
+    // Called after the list has been queued for the decision module: attempts that end because of the list
+    // are then decided by it.
+    std::function<void(decision::EndpointListKind, const std::vector<traffic::ListedEndpoint>&)>
+        apply_endpoint_list;
 };
 
-class Proxy final : public traffic::RequestDispatcher,
-                    public traffic::AttemptListener,
-                    public traffic::EndpointListListener {
+class DispatchLoop final : public traffic::RequestDispatcher,
+                           public traffic::AttemptListener,
+                           public traffic::EndpointListListener {
 public:
-    Proxy(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
-          metrics::Numbers& numbers);
+    // `deadlines` and `metrics` are not owned and outlive the loop. Throws std::invalid_argument naming the
+    // setting that cannot be run.
+    DispatchLoop(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
+                 metrics::Numbers& metrics);
 
-    void attach(Hands hands);
-    // Sweeps the deadlines and lets the module decide until nothing new has happened.
-    void turn();
-    std::size_t open_requests() const { return open_.size() - closed_.size(); }
-    std::size_t members_avoided() const {
-        return router_.ejected_endpoint_count();
-    }  // by the module's choice
+    // Must be called before the first event; the targets need the loop to be constructed.
+    void set_targets(ActionTargets targets);
+    // Runs the deadlines that are due, then steps the decision module until no event is left.
+    void run_iteration();
+
+    std::size_t open_request_count() const { return requests_.size(); }
+    std::size_t ejected_endpoint_count() const { return router_.ejected_endpoint_count(); }
 
     // RequestDispatcher
     traffic::RequestId submit(traffic::Request request, traffic::ResponseSink& sink) override;
-    void cancel_request(traffic::RequestId request) override;
-    bool has_ready_endpoints() const override { return !ready_.empty(); }
-    bool knows_replica_group(int replica_group) const override { return groups_.count(replica_group) > 0; }
+    void cancel_request(traffic::RequestId id) override;
+    bool has_ready_endpoints() const override { return !ready_endpoints_.empty(); }
+    bool knows_replica_group(int replica_group) const override {
+        return replica_groups_.count(replica_group) > 0;
+    }
     // AttemptListener
     bool on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
                            std::size_t size, traffic::ResponseSource& source) override;
-    void on_value_chunk(traffic::RequestId request, std::string_view bytes) override;
+    void on_value_chunk(traffic::RequestId id, std::string_view bytes) override;
     void on_attempt_ended(const decision::AttemptEnded& end,
                           std::optional<traffic::ResultValue> value) override;
     void on_health_check_ended(const decision::HealthCheckEnded& end) override;
-    bool is_request_active(traffic::RequestId request) override;
+    bool is_request_active(traffic::RequestId id) override;
     // EndpointListListener
     void on_endpoint_list(decision::EndpointListKind kind,
-                          std::vector<traffic::ListedEndpoint> entries) override;
-    void on_poll_failed(const decision::FailedPoll& call) override;
+                          std::vector<traffic::ListedEndpoint> endpoints) override;
+    void on_poll_failed(const decision::FailedPoll& poll) override;
 
 private:
-    struct Open {
-        traffic::ResponseSink* sink = nullptr;  // none once it is answered or its client has gone
-        std::shared_ptr<const traffic::Statement> statement = {};
-        int request_class = 0;
-        Time deadline = 0;
-        int attempts = 0;
-        int started = -1;  // the attempt whose answer is being passed on
-        Deadline overdue = {};
-    };
-
     void step();
-    void act(const decision::Forward& a);
-    void act(const decision::Reject& a);
-    void act(const decision::Fail& a);
-    void act(const decision::Cancel& a);
-    void act(const decision::SetTimer& a);
-    void act(const decision::StartHealthCheck& a);
-    void act(const decision::PollDiscovery& a);
-    void act(const decision::Log& a);
-    // Takes the request's sink, which is answered next; nothing where that has happened.
-    traffic::ResponseSink* close(traffic::RequestId request);
-    // The same, for a request that the module gives up.
-    traffic::ResponseSink* give_up(traffic::RequestId request, decision::RejectionReason cause);
-    void overdue(traffic::RequestId request);
+    void respond(traffic::RequestId id, const OpenRequest& request,
+                 const std::optional<traffic::ResultValue>& value);
+    void on_overdue(traffic::RequestId id);
+
+    void execute(const decision::Forward& forward);
+    void execute(const decision::Reject& reject);
+    void execute(const decision::Fail& fail);
+    void execute(const decision::Cancel& cancel);
+    void execute(const decision::SetTimer& timer);
+    void execute(const decision::StartHealthCheck& check);
+    void execute(const decision::PollDiscovery& poll);
+    void execute(const decision::Log& entry);
+    void expire_attempt(const decision::Forward& forward, OpenRequest& request);
+    // Closes a request that the decision module rejects or fails, and counts why.
+    traffic::ResponseSink* close_unserved(traffic::RequestId id, decision::RejectionReason reason);
 
     Deadlines& deadlines_;
-    metrics::Numbers& numbers_;
+    metrics::Numbers& metrics_;
     decision::Router router_;
-    std::optional<Hands> hands_;
-    std::vector<decision::Event> events_, stepping_;
+    std::optional<ActionTargets> targets_;
+    std::vector<decision::Event> queued_events_;
+    std::vector<decision::Event> step_events_;  // those of the step that runs; a member to keep its memory
     std::vector<decision::Action> actions_;
-    std::unordered_map<traffic::RequestId, Open> open_;
-    std::vector<traffic::RequestId> closed_;  // kept until the module has been told
-    traffic::RequestId last_ = 0;
-    std::unordered_set<int> groups_;
-    std::unordered_set<traffic::EndpointId> ready_;
+    OpenRequests requests_;
+    std::unordered_set<int> replica_groups_;
+    std::unordered_set<traffic::EndpointId> ready_endpoints_;
 };
 
 }  // namespace sloestack::dispatch
--- /dev/null
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -0,0 +1,123 @@
+#include <utility>
+
+#include "dispatch_loop/dispatch_loop.h"
+#include "invariant/invariant.h"
+
+namespace sloestack::dispatch {
+namespace {
+
+using decision::EndpointListKind;
+using decision::Outcome;
+
+// How long after the client's deadline the decision module may still be about to answer.
+constexpr Micros kOverdueGrace = 30'000;
+
+}  // namespace
+
+traffic::RequestId DispatchLoop::submit(traffic::Request submitted, traffic::ResponseSink& sink) {
+    auto [id, request] = requests_.add();
+    submitted.arrival.request = id;
+    request.sink = &sink;
+    request.statement = std::move(submitted.statement);
+    request.request_class = submitted.arrival.request_class;
+    request.deadline = submitted.arrival.deadline;
+    request.overdue_check.set(deadlines_, request.deadline + kOverdueGrace,
+                              [this, overdue = id] { on_overdue(overdue); });
+    queued_events_.emplace_back(submitted.arrival);
+    return id;
+}
+
+void DispatchLoop::cancel_request(traffic::RequestId id) {
+    const auto* request = requests_.find(id);
+    if (!requests_.close(id)) return;
+    // The decision module counts a request whose answer has started as answered: the attempt is ended here.
+    if (request->streaming_attempt)
+        targets_->attempt_sender.cancel_attempt(id, *request->streaming_attempt);
+    else
+        queued_events_.emplace_back(decision::ClientDisconnected{id});
+}
+
+bool DispatchLoop::is_request_active(traffic::RequestId id) {
+    const auto* request = requests_.find(id);
+    if (!request || !request->sink) return false;
+    if (!request->sink->client_disconnected()) return deadlines_.now() < request->deadline;
+    cancel_request(id);
+    return false;
+}
+
+bool DispatchLoop::on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
+                                     std::size_t size, traffic::ResponseSource& source) {
+    auto* request = requests_.find(start.request);
+    if (!request || !request->sink || request->streaming_attempt) return false;
+    request->streaming_attempt = start.attempt;
+    request->overdue_check.clear();  // a started answer has no deadline
+    queued_events_.emplace_back(start);
+    request->sink->on_value_started(head, size, source);
+    return true;
+}
+
+void DispatchLoop::on_value_chunk(traffic::RequestId id, std::string_view bytes) {
+    const auto* request = requests_.find(id);
+    if (request && request->sink) request->sink->on_value_chunk(bytes);
+}
+
+void DispatchLoop::on_attempt_ended(const decision::AttemptEnded& end,
+                                    std::optional<traffic::ResultValue> value) {
+    SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
+    const auto* request = requests_.find(end.request);
+    if (request) {
+        metrics_.ended(request->request_class, end.outcome);
+        // The first answer goes to the client as it is and ends the request, without asking the module.
+        const bool is_response =
+            request->streaming_attempt ? *request->streaming_attempt == end.attempt : value.has_value();
+        if (is_response) respond(end.request, *request, value);
+    }
+    auto event = end;
+    event.request_ended = !request || !request->sink;
+    queued_events_.emplace_back(event);
+}
+
+void DispatchLoop::respond(traffic::RequestId id, const OpenRequest& request,
+                           const std::optional<traffic::ResultValue>& value) {
+    auto* sink = requests_.close(id);
+    if (!sink) return;
+    if (!request.streaming_attempt)
+        sink->on_value(*value);
+    else if (value)
+        sink->on_value_completed(value->command_tag);
+    else
+        sink->on_value_aborted();
+}
+
+void DispatchLoop::on_health_check_ended(const decision::HealthCheckEnded& end) {
+    queued_events_.emplace_back(end);
+}
+
+void DispatchLoop::on_endpoint_list(EndpointListKind kind, std::vector<traffic::ListedEndpoint> endpoints) {
+    if (kind != EndpointListKind::changes) ready_endpoints_.clear();
+    auto entries = std::make_shared<std::vector<decision::EndpointEntry>>();
+    for (const auto& listed : endpoints) {
+        const auto& entry = listed.endpoint;
+        entries->push_back(entry);
+        if (entry.state == decision::EndpointState::ready)
+            ready_endpoints_.insert(entry.endpoint);
+        else
+            ready_endpoints_.erase(entry.endpoint);
+        replica_groups_.insert(entry.replica_group);
+    }
+    queued_events_.emplace_back(decision::EndpointList{kind, std::move(entries)});
+    targets_->apply_endpoint_list(kind, endpoints);
+}
+
+void DispatchLoop::on_poll_failed(const decision::FailedPoll& poll) {
+    queued_events_.emplace_back(decision::EndpointList{EndpointListKind::failed, nullptr, poll});
+}
+
+// Every request is answered in time, whatever the decision module does: one it has forgotten is failed.
+void DispatchLoop::on_overdue(traffic::RequestId id) {
+    SLOESTACK_INVARIANT(false, "the module answers every request in time");
+    queued_events_.emplace_back(decision::ClientDisconnected{id});
+    if (auto* sink = requests_.close(id)) sink->on_failed();
+}
+
+}  // namespace sloestack::dispatch
