--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -47,7 +47,6 @@
     bool discovery_is_polled = false;       // the list must be asked for
     bool discovery_agent_is_local = false;  // ... of an agent that no other router calls
     bool last_write_age_reported = false;   // session reads carry the age of their last write
-    bool positions_in_answers = true;
     PositionCheck position_check = PositionCheck::none;
     Micros position_wait_us = 0;
     ListedRole listed_role = ListedRole::none;
--- a/src/core/settings/settings.cpp
+++ b/src/core/settings/settings.cpp
@@ -164,7 +164,7 @@
     if (in.find("specifics.write-marks"))
         r.last_write_age_reported = word<bool>("specifics.write-marks", in.text("specifics.write-marks"),
                                                {{"kept", false}, {"brought", true}});
-    r.positions_in_answers = in.flag("specifics.progress-told", false);
+    in.flag("specifics.progress-told", false);  // only checked: answers show whether they carry positions
     if (in.find("specifics.checks"))
         r.position_check = word<PositionCheck>("specifics.checks", in.text("specifics.checks"),
                                                {{"none", PositionCheck::none},
