--- /dev/null
+++ b/src/core/settings/setting_field.h
@@ -0,0 +1,77 @@
+// What the tables that map settings to typed fields are made of.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <type_traits>
+#include <vector>
+
+#include "settings/setting_reader.h"
+
+namespace sloestack::settings {
+
+// A word of the wire and what it means.
+template <class Value>
+struct Word {
+    const char* name;
+    Value meaning;
+};
+
+template <class Value, std::size_t kCount>
+Value read_word(const std::string& key, const std::string& value, const Word<Value> (&words)[kCount]) {
+    for (const auto& word : words)
+        if (value == word.name) return word.meaning;
+    throw SettingError(key, "unknown word " + value);
+}
+
+enum class Presence { required, optional };
+
+// One row of a table: a key and how its value is stored in the struct. It throws where the value is absent.
+template <class Struct>
+struct Field {
+    const char* key;
+    Presence presence;
+    void (*store)(const SettingReader& reader, const std::string& key, Struct& out);
+};
+
+inline void read_value(const SettingReader& reader, const std::string& key, bool& out) {
+    out = reader.flag(key);
+}
+inline void read_value(const SettingReader& reader, const std::string& key, int& out) {
+    out = static_cast<int>(reader.number(key));
+}
+inline void read_value(const SettingReader& reader, const std::string& key, std::int64_t& out) {
+    out = static_cast<std::int64_t>(reader.number(key));
+}
+inline void read_value(const SettingReader& reader, const std::string& key, double& out) {
+    out = reader.number(key);
+}
+inline void read_value(const SettingReader& reader, const std::string& key, std::vector<std::string>& out) {
+    out = reader.list(key);
+}
+
+// Stores a value of the member's own type.
+template <auto kMember, class Struct>
+void store(const SettingReader& reader, const std::string& key, Struct& out) {
+    read_value(reader, key, out.*kMember);
+}
+
+// Stores what a word means.
+template <auto kMember, const auto& kWords, class Struct>
+void store_word(const SettingReader& reader, const std::string& key, Struct& out) {
+    out.*kMember = read_word(key, reader.text(key), kWords);
+}
+
+// Reads each field of the table in order, its key behind `prefix`. An optional field that is absent keeps its
+// default. Throws SettingError for the first field that is required and absent, or cannot be read.
+template <class Struct, std::size_t kCount>
+void read_fields(const SettingReader& reader, const std::string& prefix, const Field<Struct> (&table)[kCount],
+                 Struct& out) {
+    for (const auto& field : table) {
+        const std::string key = prefix + field.key;
+        if (field.presence == Presence::required || reader.find(key)) field.store(reader, key, out);
+    }
+}
+
+}  // namespace sloestack::settings
