--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -1,6 +1,6 @@
-// The interface of the decision module: the settings, what a router is told (events), what it answers (actions),
-// and the router itself. The module does no I/O, reads no clock and holds no thread; equal settings, seeds and
-// events give equal actions.
+// The interface of the decision module: the settings, what a router is told (events), what it answers
+// (actions), and the router itself. The module does no I/O, reads no clock and holds no thread; equal
+// settings, seeds and events give equal actions.
 //
 // All times are microseconds on the caller's clock; names that end in _us are durations in microseconds.
 #pragma once
@@ -24,8 +24,8 @@
 // What a read of a class asks of the data: any copy, one no older than a bound, one with all writes of the
 // client's own session, or the present.
 enum class Consistency { any, bounded_staleness, session, linearizable };
-// What forwarding a request again does: nothing more; nothing more within a window and a scope, by a key; it may
-// run twice.
+// What forwarding a request again does: nothing more; nothing more within a window and a scope, by a key; it
+// may run twice.
 enum class Idempotency { idempotent, keyed, none };
 // Where a keyed request that is forwarded again is recognised.
 enum class IdempotencyScope { replica_group, zone, fleet };
@@ -36,8 +36,8 @@
 enum class Role { unknown, primary, replica };
 enum class EndpointState { removed, draining, ready };
 
-// Settings of one request class. Defaults are in the field's initializer; a class without a latency objective and
-// a deadline is rejected by `validate`.
+// Settings of one request class. Defaults are in the field's initializer; a class without a latency objective
+// and a deadline is rejected by `validate`.
 struct RequestClassSettings {
     bool is_write = false;  // only the primary takes it; its consistency is linearizable then
     Consistency consistency = Consistency::any;
@@ -98,7 +98,8 @@
     Time started_at = 0;  // 0: long ago
     EndpointState state = EndpointState::ready;
 };
-// A list kept from before the start, the changes since the last one, a whole list, or a poll that brought none.
+// A list kept from before the start, the changes since the last one, a whole list, or a poll that brought
+// none.
 enum class EndpointListKind { cached, changes, complete, failed };
 struct FailedPoll {
     bool rejected = false;              // there was an answer, but no list
@@ -110,8 +111,8 @@
     FailedPoll failed_poll = {};                                // where the kind is failed
 };
 
-// A client's request. The router answers it by exactly one of: an attempt whose answer goes to the client, Reject
-// or Fail; or the client disconnects first.
+// A client's request. The router answers it by exactly one of: an attempt whose answer goes to the client,
+// Reject or Fail; or the client disconnects first.
 struct Arrival {
     RequestId request = 0;
     int request_class = 0;
@@ -246,8 +247,8 @@
     Router(Router&&) noexcept;
     Router& operator=(Router&&) noexcept;
 
-    // Takes in all that has happened by `now`, which never goes back, as one step, and appends what is to be done
-    // at once.
+    // Takes in all that has happened by `now`, which never goes back, as one step, and appends what is to be
+    // done at once.
     void step(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
     // Of the endpoints that may be forwarded to, those that this router avoids: ejected, or in a silent zone.
     std::size_t ejected_endpoint_count() const;
