--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,73 +1,103 @@
 #include "codec.h"
 
 #include <algorithm>
+#include <limits>
 
 namespace sloestack::simulator {
 namespace {
 
-using namespace sloestack::decision;
+using decision::Micros;
 
-std::uint32_t wire_micros(Micros value) {
-    return static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, 0xffffffffLL));
+constexpr std::size_t kMaxTextBytes = std::numeric_limits<std::uint16_t>::max();
+constexpr Micros kMaxWireMicros = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint8_t kPollDiscoveryBody = 1;
+
+void put_header(std::vector<unsigned char>& frame, std::size_t offset, std::uint32_t value) {
+    for (std::size_t i = 0; i < sizeof value; ++i)
+        frame[offset + i] = static_cast<unsigned char>(value >> (24 - 8 * i));
 }
 
 }  // namespace
 
-void Reply::texted(std::uint16_t code, std::string_view text) {
-    text = text.substr(0, 0xffff);
-    begin(code, static_cast<std::uint32_t>(2 + text.size()));
+void ReplyWriter::clear() {
+    frame_.assign(kReplyHeaderBytes, 0);
+    record_count_ = 0;
+}
+
+void ReplyWriter::begin(ActionCode code, std::size_t body_bytes) {
+    put(static_cast<std::uint16_t>(code));
+    put(static_cast<std::uint32_t>(body_bytes));
+    ++record_count_;
+}
+
+void ReplyWriter::put_micros(Micros value) {
+    put(static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, kMaxWireMicros)));
+}
+
+void ReplyWriter::add_text(ActionCode code, std::string_view text) {
+    text = text.substr(0, kMaxTextBytes);
+    begin(code, sizeof(std::uint16_t) + text.size());
     put(static_cast<std::uint16_t>(text.size()));
-    out_.insert(out_.end(), text.begin(), text.end());
+    frame_.insert(frame_.end(), text.begin(), text.end());
 }
 
-void Reply::action(const Action& action) {
-    struct Writer {
-        Reply& r;
-        void operator()(const Forward& a) const {
-            r.begin(1000, 16);
-            r.put(a.request);
-            r.put(a.endpoint);
-            r.put(wire_micros(a.timeout_us));
-        }
-        void operator()(const Reject& a) const {
-            r.begin(1010, 12);
-            r.put(a.request);
-            r.put(wire_micros(a.retry_after_us));
-        }
-        void operator()(const Fail& a) const {
-            r.begin(1020, 8);
-            r.put(a.request);
-        }
-        void operator()(const Cancel& a) const {
-            r.begin(1030, 9);
-            r.put(a.request);
-            r.put(static_cast<std::uint8_t>(a.attempt));
-        }
-        void operator()(const SetTimer& a) const {
-            r.begin(1040, 8);
-            r.put(wire_micros(a.delay_us));
-            r.put(a.token);
-        }
-        void operator()(const StartHealthCheck& a) const {
-            r.begin(1050, 4);
-            r.put(a.endpoint);
-        }
-        void operator()(const PollDiscovery&) const {
-            r.begin(1100, 1);
-            r.put(std::uint8_t{1});
-        }
-        void operator()(const Log& a) const { r.texted(1080, a.text); }
-    };
-    std::visit(Writer{*this}, action);
+void ReplyWriter::add_instance(std::uint16_t number) {
+    begin(ActionCode::instance_selected, sizeof number);
+    put(number);
 }
 
-const std::vector<unsigned char>& Reply::finish() {
-    const auto size = static_cast<std::uint32_t>(out_.size());
-    for (int i = 0; i < 4; ++i) {
-        out_[static_cast<std::size_t>(i)] = static_cast<unsigned char>(records_ >> (24 - 8 * i));
-        out_[static_cast<std::size_t>(4 + i)] = static_cast<unsigned char>(size >> (24 - 8 * i));
-    }
-    return out_;
+void ReplyWriter::add_fault(std::string_view text) { add_text(ActionCode::instance_fault, text); }
+
+void ReplyWriter::add_action(const decision::Action& action) {
+    std::visit([this](const auto& each) { add(each); }, action);
+}
+
+void ReplyWriter::add(const decision::Forward& forward) {
+    begin(ActionCode::forward, 16);
+    put(forward.request);
+    put(forward.endpoint);
+    put_micros(forward.timeout_us);
+}
+
+void ReplyWriter::add(const decision::Reject& reject) {
+    begin(ActionCode::reject, 12);
+    put(reject.request);
+    put_micros(reject.retry_after_us);
+}
+
+void ReplyWriter::add(const decision::Fail& fail) {
+    begin(ActionCode::fail, 8);
+    put(fail.request);
+}
+
+void ReplyWriter::add(const decision::Cancel& cancel) {
+    begin(ActionCode::cancel, 9);
+    put(cancel.request);
+    put(static_cast<std::uint8_t>(cancel.attempt));
+}
+
+void ReplyWriter::add(const decision::SetTimer& timer) {
+    begin(ActionCode::set_timer, 8);
+    put_micros(timer.delay_us);
+    put(timer.token);
+}
+
+void ReplyWriter::add(const decision::StartHealthCheck& check) {
+    begin(ActionCode::start_health_check, 4);
+    put(check.endpoint);
+}
+
+void ReplyWriter::add(const decision::PollDiscovery&) {
+    begin(ActionCode::poll_discovery, 1);
+    put(kPollDiscoveryBody);
+}
+
+void ReplyWriter::add(const decision::Log& entry) { add_text(ActionCode::log, entry.text); }
+
+const std::vector<unsigned char>& ReplyWriter::finish() {
+    put_header(frame_, 0, record_count_);
+    put_header(frame_, sizeof record_count_, static_cast<std::uint32_t>(frame_.size()));
+    return frame_;
 }
 
 }  // namespace sloestack::simulator
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,4 +1,5 @@
-// The wire's framing: reading big-endian fields out of a record and writing records into a reply.
+// The framing of the simulator's wire: reads big-endian fields out of a record and writes records into a
+// reply.
 #pragma once
 
 #include <cstdint>
@@ -8,32 +9,39 @@
 #include <string_view>
 #include <vector>
 
+#include "record_codes.h"
 #include "sloestack/router.h"
 
 namespace sloestack::simulator {
 
+// A frame that cannot be read; `offset` counts bytes from the frame's beginning.
 struct BadFrame : std::runtime_error {
     BadFrame(std::size_t offset, const std::string& why)
         : std::runtime_error("bad frame at byte " + std::to_string(offset) + ": " + why) {}
 };
 
-constexpr std::size_t kBatchHeader = 16;
-constexpr std::size_t kReplyHeader = 8;
-constexpr std::uint32_t kLargestFrame = 1u << 30;
+// Time (8 bytes), the frame's size and the count of its records (4 bytes each).
+constexpr std::size_t kBatchHeaderBytes = 16;
+constexpr std::size_t kBatchSizeOffset = 8;
+// The count of records and the frame's size (4 bytes each).
+constexpr std::size_t kReplyHeaderBytes = 8;
+constexpr std::uint32_t kMaxFrameBytes = 1U << 30;
 
-// A cursor over big-endian fields; reading past the end throws BadFrame naming the offset in the frame.
-class Fields {
+// Reads fields one after the other; does not own the data. Each read throws BadFrame where it would go past
+// the end.
+class FieldReader {
 public:
-    Fields(const unsigned char* data, std::size_t size, std::size_t offset)
-        : p_(data), left_(size), at_(offset) {}
+    // `offset` is where the data begins in its frame.
+    FieldReader(const unsigned char* data, std::size_t size, std::size_t offset)
+        : next_(data), left_(size), offset_(offset) {}
 
-    template <class T>
-    T uint() {
-        need(sizeof(T));
-        T value = 0;
-        for (std::size_t i = 0; i < sizeof(T); ++i)
-            value = static_cast<T>((static_cast<std::uint64_t>(value) << 8) | p_[i]);
-        skip(sizeof(T));
+    template <class Integer>
+    Integer uint() {
+        need(sizeof(Integer));
+        Integer value = 0;
+        for (std::size_t i = 0; i < sizeof(Integer); ++i)
+            value = static_cast<Integer>((static_cast<std::uint64_t>(value) << 8) | next_[i]);
+        skip(sizeof(Integer));
         return value;
     }
     float real() {
@@ -42,67 +50,73 @@
         std::memcpy(&value, &bits, sizeof value);
         return value;
     }
-    Fields part(std::size_t size) {
+    // A reader of the next `size` bytes alone, which are skipped here.
+    FieldReader part(std::size_t size) {
         need(size);
-        Fields out(p_, size, at_);
+        const FieldReader out(next_, size, offset_);
         skip(size);
         return out;
     }
     std::string_view bytes(std::size_t size) {
         need(size);
-        const std::string_view out(reinterpret_cast<const char*>(p_), size);
+        const std::string_view out(reinterpret_cast<const char*>(next_), size);
         skip(size);
         return out;
     }
     std::size_t left() const { return left_; }
-    std::size_t offset() const { return at_; }
+    std::size_t offset() const { return offset_; }
 
 private:
     void need(std::size_t size) const {
-        if (size > left_) throw BadFrame(at_, "a field or count runs past its end");
+        if (size > left_) throw BadFrame(offset_, "a field or count runs past its end");
     }
     void skip(std::size_t size) {
-        p_ += size;
+        next_ += size;
         left_ -= size;
-        at_ += size;
+        offset_ += size;
     }
 
-    const unsigned char* p_;
+    const unsigned char* next_;
     std::size_t left_;
-    std::size_t at_;
+    std::size_t offset_;
 };
 
-// One reply frame, built record by record.
-class Reply {
+// Writes one reply frame, record by record.
+class ReplyWriter {
 public:
-    Reply() { clear(); }
-    void clear() {
-        out_.assign(kReplyHeader, 0);
-        records_ = 0;
-    }
-    void instance(std::uint16_t i) {
-        begin(1120, 2);
-        put(i);
-    }
-    void fault(std::string_view text) { texted(1090, text); }
-    void action(const sloestack::decision::Action& action);
+    ReplyWriter() { clear(); }
+    // Begins a new frame.
+    void clear();
+    // The actions that follow are this instance's.
+    void add_instance(std::uint16_t number);
+    // Texts are cut to 65,535 bytes, which the wire's length can count.
+    void add_fault(std::string_view text);
+    void add_action(const decision::Action& action);
+    // Completes the header and returns the frame, which is valid until the next clear().
     const std::vector<unsigned char>& finish();
 
 private:
-    template <class T>
-    void put(T value) {
-        for (int shift = static_cast<int>(sizeof(T)) * 8 - 8; shift >= 0; shift -= 8)
-            out_.push_back(static_cast<unsigned char>(static_cast<std::uint64_t>(value) >> shift));
+    template <class Integer>
+    void put(Integer value) {
+        for (int shift = static_cast<int>(sizeof(Integer)) * 8 - 8; shift >= 0; shift -= 8)
+            frame_.push_back(static_cast<unsigned char>(static_cast<std::uint64_t>(value) >> shift));
     }
-    void begin(std::uint16_t code, std::uint32_t size) {
-        put(code);
-        put(size);
-        ++records_;
-    }
-    void texted(std::uint16_t code, std::string_view text);
+    void begin(ActionCode code, std::size_t body_bytes);
+    // The number of microseconds, held to the wire's 32 bits.
+    void put_micros(decision::Micros value);
+    void add_text(ActionCode code, std::string_view text);
+
+    void add(const decision::Forward& forward);
+    void add(const decision::Reject& reject);
+    void add(const decision::Fail& fail);
+    void add(const decision::Cancel& cancel);
+    void add(const decision::SetTimer& timer);
+    void add(const decision::StartHealthCheck& check);
+    void add(const decision::PollDiscovery& poll);
+    void add(const decision::Log& entry);
 
-    std::vector<unsigned char> out_;
-    std::uint32_t records_ = 0;
+    std::vector<unsigned char> frame_;
+    std::uint32_t record_count_ = 0;
 };
 
 }  // namespace sloestack::simulator
--- /dev/null
+++ b/src/simulator_adapter/record_codes.h
@@ -0,0 +1,59 @@
+// The codes and field values of the simulator's wire, and what each means to the decision module.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+
+#include "sloestack/router.h"
+
+namespace sloestack::simulator {
+
+// Records of a batch, from the simulator.
+enum class EventCode : std::uint16_t {
+    endpoint_list_contents = 1000,  // a numbered list, which an endpoint_list record refers to
+    timer_fired = 1010,
+    client_disconnected = 1020,
+    instance_stopped = 1040,
+    health_check_ended = 1050,
+    instance_started = 1060,
+    arrival = 1070,
+    endpoint_list = 1080,
+    attempt_ended = 1090,
+    answer_started = 1100,
+    instance_selected = 1110,  // the records that follow are for this instance
+};
+
+// Records of a reply, to the simulator.
+enum class ActionCode : std::uint16_t {
+    forward = 1000,
+    reject = 1010,
+    fail = 1020,
+    cancel = 1030,
+    set_timer = 1040,
+    start_health_check = 1050,
+    log = 1080,
+    instance_fault = 1090,  // an instance's settings cannot be run, and why
+    poll_discovery = 1100,
+    instance_selected = 1120,
+};
+
+// Bits of an arrival.
+constexpr std::uint16_t kArrivalHasWorkHint = 1;
+constexpr std::uint16_t kArrivalIsRetry = 2;
+
+// The replication status of an answer: two bits of role, above them the position in milliseconds after the
+// position base, 0 where there is none.
+constexpr std::uint32_t kStatusRoleMask = 3;
+constexpr int kStatusPositionShift = 2;
+
+// An attempt's or a health check's status; nothing for a status this build does not know.
+std::optional<decision::Outcome> outcome_of(std::uint16_t status);
+// Nothing for a kind this build does not know.
+std::optional<decision::EndpointListKind> endpoint_list_kind_of(std::uint8_t kind);
+// An unknown state counts as removed.
+decision::EndpointState endpoint_state_of(std::uint8_t state);
+// An unknown role counts as Role::unknown.
+decision::Role role_of(std::uint32_t role);
+
+}  // namespace sloestack::simulator
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -69,14 +69,14 @@
 
 TEST(Codec, EmptyBatchGivesEmptyReply) {
     sloestack::simulator::Host host;
-    EXPECT_EQ(host.batch(Frame().bytes()), (Bytes{0, 0, 0, 0, 0, 0, 0, 8}));
+    EXPECT_EQ(host.handle_batch(Frame().bytes()), (Bytes{0, 0, 0, 0, 0, 0, 0, 8}));
 }
 
 TEST(Codec, ArrivalIsSentToTheListedServer) {
     sloestack::simulator::Host host;
     auto f = with_server();
     arrival(f, 0x0102030405060708);
-    const auto reply = host.batch(f.bytes());
+    const auto reply = host.handle_batch(f.bytes());
     EXPECT_TRUE(contains(reply, {0x04, 0x60, 0, 0, 0, 2, 0, 3}));  // speaking for instance 3
     EXPECT_TRUE(contains(reply, {0x03, 0xe8, 0, 0, 0, 16, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 77}));
     EXPECT_EQ(reply.size(), static_cast<std::size_t>(reply[6]) * 256 + reply[7]);
@@ -87,7 +87,7 @@
     auto f = with_server();
     f.record(4999, 3).put(std::uint8_t{1}).put(std::uint16_t{2});
     f.record(1010, 6).put(std::uint32_t{99}).put(std::uint16_t{5});
-    EXPECT_NO_THROW(host.batch(f.bytes()));
+    EXPECT_NO_THROW(host.handle_batch(f.bytes()));
 }
 
 TEST(Codec, RecordLongerThanItsFrameIsNamed) {
@@ -95,7 +95,7 @@
     Frame f;
     f.select(1).record(1010, 4000).put(std::uint32_t{1});
     try {
-        host.batch(f.bytes());
+        host.handle_batch(f.bytes());
         FAIL() << "accepted";
     } catch (const BadFrame& e) {
         EXPECT_NE(std::string(e.what()).find("byte 30"), std::string::npos) << e.what();
@@ -106,28 +106,28 @@
     sloestack::simulator::Host host;
     Frame f;
     f.record(1000, 5).put(std::uint8_t{0}).put(std::uint32_t{4000000});
-    EXPECT_THROW(host.batch(f.bytes()), BadFrame);
+    EXPECT_THROW(host.handle_batch(f.bytes()), BadFrame);
 }
 
 TEST(Codec, BytesAfterTheLastRecordAreRefused) {
     sloestack::simulator::Host host;
     auto bytes = Frame().select(1).bytes();
     bytes.push_back(0);
-    EXPECT_THROW(host.batch(bytes), BadFrame);
+    EXPECT_THROW(host.handle_batch(bytes), BadFrame);
 }
 
 TEST(Codec, TruncatedFieldsAreRefused) {
     sloestack::simulator::Host host;
     Frame f;
     f.select(1).record(1070, 10).put(std::uint64_t{1}).put(std::uint16_t{0});
-    EXPECT_THROW(host.batch(f.bytes()), BadFrame);
+    EXPECT_THROW(host.handle_batch(f.bytes()), BadFrame);
 }
 
 TEST(Codec, SettingsThatCannotRunAreAFaultOfThatInstance) {
     sloestack::simulator::Host host;
     Frame f;
     f.select(1).start("classes.count=0\n");
-    const auto reply = host.batch(f.bytes());
+    const auto reply = host.handle_batch(f.bytes());
     const std::string text(reply.begin(), reply.end());
     EXPECT_NE(text.find("classes.count"), std::string::npos);
 }
@@ -156,8 +156,8 @@
     auto f = with_server();
     arrival(f, 5);
     f.record(1040, 0);
-    EXPECT_EQ(host.batch(f.bytes()).size(), 8u);
-    EXPECT_NO_THROW(host.batch(with_server().bytes(2000000)));
+    EXPECT_EQ(host.handle_batch(f.bytes()).size(), 8u);
+    EXPECT_NO_THROW(host.handle_batch(with_server().bytes(2000000)));
 }
 
 }  // namespace
