--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -112,7 +112,7 @@
                    [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
-        room_, numbers_, downstream::Entrance{config.listen, config.passed_socket}, proxy_,
+        room_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket}, proxy_,
         config.settings.class_names, overlapping(config.settings.router),
         sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
@@ -145,7 +145,7 @@
     members_.allow(shares.members);
     account_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     room_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
-    client_listener_->fit();
+    client_listener_->shrink_to_quota();
     pool_.fit();
 }
 
@@ -216,7 +216,7 @@
     invariant::Counter::report();
     // Whatever could grow with ids, names or connections over a long day.
     if (kDebug)
-        log::line("table sizes", std::to_string(client_listener_->sessions()) + " clients, " +
+        log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
                                      std::to_string(pool_.links()) + " links, " +
                                      std::to_string(proxy_.open_requests()) + " requests, " +
                                      std::to_string(lists_.names()) + " names, " +
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -29,10 +29,10 @@
     // SIGTERM and SIGINT stop it; at SIGHUP it takes over what `load` says anew.
     void obey_signals(std::function<config::Config()> load);
     void stop() { client_listener_->stop(succession_ && succession_->has_successor()); }
-    bool over() const { return client_listener_->over(); }
+    bool over() const { return client_listener_->is_stopped(); }
     // Whether a list is held and clients are accepted.
     bool ready() const override {
-        return proxy_.able_to_serve() && client_listener_ && client_listener_->accepting();
+        return proxy_.able_to_serve() && client_listener_ && client_listener_->is_accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
     std::uint16_t control_port() const { return control_->port(); }  // where there is such a door
--- a/src/downstream/sessions/arrival_times.cpp
+++ b/src/downstream/sessions/arrival_times.cpp
@@ -2,17 +2,17 @@
 
 namespace sloestack::downstream {
 
-void ArrivalTimes::came(std::uint64_t end, Time now) {
+void ArrivalTimes::record(std::uint64_t end, Time now) {
     if (!reads_.empty() && reads_.back().end >= end) return;
-    if (reads_.size() == kMost || (!reads_.empty() && reads_.back().at == now))
+    if (reads_.size() == kMaxReads || (!reads_.empty() && reads_.back().at == now))
         reads_.back() = {end, now};
     else
         reads_.push_back({end, now});
 }
 
-Time ArrivalTimes::last_byte(std::uint64_t end, Time otherwise) {
+Time ArrivalTimes::arrival_of(std::uint64_t end, Time fallback) {
     while (!reads_.empty() && reads_.front().end < end) reads_.pop_front();
-    return reads_.empty() ? otherwise : reads_.front().at;
+    return reads_.empty() ? fallback : reads_.front().at;
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/arrival_times.h
+++ b/src/downstream/sessions/arrival_times.h
@@ -1,5 +1,5 @@
-// When the commands of a connection have come: a command that is read once those before it are answered has
-// come earlier, and its client counts its time from then. Pure.
+// Remembers when each part of a connection's input arrived. A pipelined command is read only once those
+// before it are answered, while its client counts its time from when it was sent. Pure.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 class ArrivalTimes {
 public:
-    // All of the stream before its byte number `end` is here at `now`. Both only grow from call to call.
-    void came(std::uint64_t end, Time now);
-    // When the last byte before number `end` came; what stands before it is not asked for again, so `end`
-    // only grows. `otherwise` where nobody has told of so many.
-    Time last_byte(std::uint64_t end, Time otherwise);
+    // All of the input before byte number `end` has arrived at `now`. Both only grow from call to call.
+    void record(std::uint64_t end, Time now);
+    // When the last byte before number `end` arrived; `fallback` where that was never recorded. What stands
+    // before it is forgotten, so `end` only grows from call to call.
+    Time arrival_of(std::uint64_t end, Time fallback);
 
     // Reads that are told apart: 8 KiB, which may stand behind an open request, are some 64 statements, each
-    // in up to four pieces. Beyond it the latest count as one, as having come with its last byte: a client
-    // that sends byte by byte is given more time, never less.
-    static constexpr std::size_t kMost = 256;
+    // in up to four pieces. Beyond it the latest count as one, dated by its last byte: a client that sends
+    // byte by byte is given more time, never less.
+    static constexpr std::size_t kMaxReads = 256;
 
 private:
     struct Read {
--- /dev/null
+++ b/src/downstream/sessions/client_framer.cpp
@@ -0,0 +1,96 @@
+#include "sessions/client_framer.h"
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr std::size_t kEmptyMessageBytes = 4;  // the length field alone
+
+// The largest message of a type that a client may send, its length field included; 0 where it may not.
+std::size_t max_size_of(char type) {
+    switch (type) {
+        case 'Q':
+            return pgwire::kLargestStatement;
+        case 'P':
+        case 'B':
+        case 'D':
+        case 'E':
+        case 'C':
+        case 'F':
+            return pgwire::kLargestMessage;
+        case 'S':
+        case 'H':
+        case 'X':
+            return kEmptyMessageBytes;
+        default:
+            return 0;
+    }
+}
+
+}  // namespace
+
+void ClientFramer::bytes_received(Time now) {
+    last_read_at_ = now;
+    arrivals_.record(connection_->taken() + connection_->held(), now);
+}
+
+std::optional<pgwire::Message> ClientFramer::next_startup() {
+    return pgwire::next_startup(connection_->unread());
+}
+
+std::optional<pgwire::Message> ClientFramer::next_message() {
+    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    if (!size || connection_->held() < *size) return std::nullopt;
+    return pgwire::next_message(connection_->unread(), max_size_of);
+}
+
+Time ClientFramer::arrival_of(const pgwire::Message& message) {
+    return arrivals_.arrival_of(connection_->taken() + message.size, last_read_at_);
+}
+
+std::optional<std::string_view> ClientFramer::peek_query(std::size_t max_size) const {
+    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    if (!size || *size > max_size || connection_->held() < *size) return std::nullopt;
+    const auto message = pgwire::next_message(connection_->unread(*size), max_size_of);
+    if (!message || message->type != 'Q') return std::nullopt;
+    return pgwire::Fields(message->body).text();
+}
+
+std::optional<std::size_t> ClientFramer::large_statement_size() const {
+    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    if (!size || *size <= pgwire::kLargestMessage) return std::nullopt;
+    return size;
+}
+
+bool ClientFramer::reserve_large_statement(std::size_t size) {
+    reserved_ = budget_.take(size, this);
+    waits_for_memory_ = !reserved_;
+    return reserved_ != nullptr;
+}
+
+void ClientFramer::begin_large_statement(std::size_t size) {
+    connection_->consume(pgwire::kHead);
+    large_ = PartialStatement{{{}, std::move(reserved_)}, size - pgwire::kHead};
+    large_->statement.text.reserve(large_->missing_bytes);
+}
+
+std::optional<LargeStatement> ClientFramer::read_large_statement() {
+    auto& text = large_->statement.text;
+    const auto size_before = text.size();
+    connection_->move_to(text, large_->missing_bytes);
+    large_->missing_bytes -= text.size() - size_before;
+    if (large_->missing_bytes > 0) return std::nullopt;
+    auto whole = std::move(large_->statement);
+    large_.reset();
+    return whole;
+}
+
+Time ClientFramer::large_statement_arrival() {
+    return arrivals_.arrival_of(connection_->taken(), last_read_at_);
+}
+
+void ClientFramer::stop() {
+    budget_.leave(this);
+    large_.reset();
+}
+
+}  // namespace sloestack::downstream
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -7,184 +7,214 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kPause = 20'000;  // of the listener, when there are no descriptors
-constexpr int kRestingShare = 3;   // of the clients' share, that many times over: what may rest for long
-constexpr Micros kRestsInCrowd = 100'000;  // beyond it, connections rest only so long
-constexpr Micros kTidyEvery = 50'000;
-constexpr Micros kComplainEvery = 1'000'000;
-// After a stop. The proxy may be killed once the longest wait of any client, counted as 3 s at most, and 0.7
-// s more have passed; nothing may be unanswered then.
-constexpr Micros kLongestWait = 3'000'000;
-constexpr Micros kStillComing = 500'000;  // how long the front may still send clients
-constexpr Micros kLastArrival = 100'000;  // and how long after the last of them the listener goes
-constexpr Micros kRests = 500'000;        // a connection not used for that long is closed early
-constexpr Micros kLeaveEarly = 800'000;   // before the longest wait is over: from then on all are closed
-constexpr Micros kLastAnswer = 500'000;   // after it, what still waits is told that it has failed
-constexpr Micros kLastLinger = 100'000;   // and its connection is closed whether the client has ended or not
-constexpr Micros kLook = 50'000;
+constexpr Micros kAcceptRetryDelay = 20'000;  // while no descriptor is free
+constexpr Micros kDescriptorWarningInterval = 1'000'000;
+
+// Idle sessions may hold one part in so many of the clients' quota; beyond that they are closed once idle for
+// kCrowdedIdleTimeout.
+constexpr int kIdleQuotaDivisor = 3;
+constexpr Micros kCrowdedIdleTimeout = 100'000;
+constexpr Micros kIdleCheckInterval = 50'000;
+
+// After a stop. The process may be killed once kMaxLongestWait and 0.7 s more have passed; no request may be
+// open then.
+constexpr Micros kMaxLongestWait = 3'000'000;
+constexpr Micros kMinListenTime = 500'000;           // load balancers may still send clients
+constexpr Micros kListenTimeAfterArrival = 100'000;  // after the last of them
+constexpr Micros kStopIdleTimeout = 500'000;         // a session idle for so long is closed early
+constexpr Micros kCloseAllBeforeLongestWait = 800'000;
+constexpr Micros kFailAllAfterLongestWait = 500'000;  // open requests are answered with an error
+constexpr Micros kLastLinger = 100'000;
+constexpr Micros kStopInterval = 50'000;
 
 }  // namespace
 
 ClientListener::ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas,
-                               net::ByteAccount& account, net::Room& room, metrics::Numbers& numbers,
-                               const Entrance& at, traffic::RequestDispatcher& dispatcher,
-                               std::vector<std::string> class_names, std::vector<bool> class_overlaps,
-                               bool sessions_named, Micros longest_wait, std::uint64_t seed)
+                               net::ByteAccount& account, net::Room& large_statement_budget,
+                               metrics::Numbers& metrics, const ListenEndpoint& listen_endpoint,
+                               traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
+                               std::vector<bool> class_may_overlap, bool uses_session_tokens,
+                               Micros longest_wait, std::uint64_t seed)
     : loop_(loop),
       deadlines_(deadlines),
-      quota_(quotas.clients),
-      overflow_(quotas.overflow),
-      lingering_(quotas.lingering),
-      at_(at),
-      office_{loop,
-              deadlines,
-              dispatcher,
-              account,
-              room,
-              quotas.clients,
-              lingering_,
-              numbers,
-              std::move(class_names),
-              std::move(class_overlaps),
-              sessions_named,
-              CancelKeys(seed)},
-      longest_wait_(std::min(longest_wait, kLongestWait)) {}
+      client_quota_(quotas.clients),
+      overflow_quota_(quotas.overflow),
+      lingering_quota_(quotas.lingering),
+      listen_endpoint_(listen_endpoint),
+      context_{loop,
+               deadlines,
+               dispatcher,
+               account,
+               large_statement_budget,
+               quotas.clients,
+               lingering_quota_,
+               metrics,
+               std::move(class_names),
+               std::move(class_may_overlap),
+               uses_session_tokens,
+               CancelKeys(seed)},
+      longest_wait_(std::min(longest_wait, kMaxLongestWait)) {}
 
 ClientListener::~ClientListener() = default;
 
-// Clients bound how many connections they hold. Guards them against having all of theirs taken up by clients
-// that ask once and keep their connection: the longest at rest are closed until few enough are left.
-void ClientListener::tidy() {
-    const Time now = deadlines_.now();
-    auto resting = std::count_if(sessions_.begin(), sessions_.end(),
-                                 [](const auto& s) { return s->has_asked() && s->rests(); });
-    for (auto it = sessions_.begin(); it != sessions_.end() && resting * kRestingShare > quota_.most();) {
-        auto& s = **it++;  // closing takes it off the list
-        if (!s.has_asked() || s.quiet_since() > now - kRestsInCrowd || !s.rests()) continue;
-        s.finish();
-        --resting;
+template <class Visit>
+void ClientListener::for_each_session(Visit visit) {
+    for (auto it = sessions_.begin(); it != sessions_.end();) {
+        auto& session = **it;
+        ++it;  // closing removes the session from the list
+        if (!visit(session)) return;
     }
-    tidy_.set(deadlines_, now + kTidyEvery, [this] { tidy(); });
+}
+
+// Clients bound how many connections they hold: this keeps clients that ask once and stay connected from
+// taking the whole quota.
+void ClientListener::close_long_idle_sessions() {
+    const Time now = deadlines_.now();
+    auto idle_count = std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
+        return session->has_sent_query() && session->is_idle();
+    });
+    for_each_session([&](ClientSession& session) {
+        if (idle_count * kIdleQuotaDivisor <= client_quota_.most()) return false;
+        const bool is_long_idle = session.has_sent_query() &&
+                                  session.last_active_at() <= now - kCrowdedIdleTimeout && session.is_idle();
+        if (is_long_idle) {
+            session.finish();
+            --idle_count;
+        }
+        return true;
+    });
+    close_idle_.set(deadlines_, now + kIdleCheckInterval, [this] { close_long_idle_sessions(); });
 }
 
 void ClientListener::open() {
     if (stopping_since_) return;
-    tidy();
-    const auto take = [this](evutil_socket_t fd) { accepted(fd); };
-    const auto none_left = [this] { out_of_descriptors(); };
-    listener_ = at_.passed_socket
-                    ? std::make_unique<net::Listener>(loop_, *at_.passed_socket, take, none_left)
-                    : std::make_unique<net::Listener>(loop_, at_.address, take, none_left);
+    close_long_idle_sessions();
+    const auto accepted = [this](evutil_socket_t fd) { on_accepted(fd); };
+    const auto failed = [this] { pause_accepting(); };
+    const auto& inherited = listen_endpoint_.inherited_socket;
+    if (inherited)
+        listener_ = std::make_unique<net::Listener>(loop_, *inherited, accepted, failed);
+    else
+        listener_ = std::make_unique<net::Listener>(loop_, listen_endpoint_.address, accepted, failed);
 }
 
-void ClientListener::accepted(evutil_socket_t fd) {
-    accepted_at_ = deadlines_.now();
-    auto slot = quota_.take();
-    if (!slot && make_room()) slot = quota_.take();
-    const bool turned_away = !slot;
-    if (turned_away) slot = overflow_.take();
-    auto session = std::make_unique<Session>(office_, static_cast<SessionOwner&>(*this), fd, std::move(slot),
-                                             turned_away);
-    if (!session->opened()) return;
-    auto& s = *session;
-    places_[&s] = sessions_.insert(sessions_.end(), std::move(session));
-    if (quota_.full() && overflow_.full()) out_of_descriptors();
+void ClientListener::on_accepted(evutil_socket_t fd) {
+    last_accepted_at_ = deadlines_.now();
+    auto slot = client_quota_.take();
+    if (!slot && close_one_idle_session()) slot = client_quota_.take();
+    const bool reject_requests = !slot;
+    if (reject_requests) slot = overflow_quota_.take();
+    auto session = std::make_unique<ClientSession>(context_, static_cast<ClientSessionOwner&>(*this), fd,
+                                                   std::move(slot), reject_requests);
+    if (!session->is_open()) return;
+    const auto* key = session.get();
+    positions_[key] = sessions_.insert(sessions_.end(), std::move(session));
+    if (client_quota_.full() && overflow_quota_.full()) pause_accepting();
 }
 
-// Neither a descriptor nor a share of them is left: those who come wait in the kernel's queue for a moment.
-void ClientListener::out_of_descriptors() {
+// No descriptor is left: new clients wait in the kernel's queue.
+void ClientListener::pause_accepting() {
     const Time now = deadlines_.now();
-    if (now - complained_at_ > kComplainEvery) {
-        complained_at_ = now;
+    if (now - last_warning_at_ > kDescriptorWarningInterval) {
+        last_warning_at_ = now;
         log::line("out of descriptors", std::to_string(sessions_.size()) + " clients");
     }
     if (!listener_) return;
     listener_->pause();
-    resume_.set(deadlines_, now + kPause, [this] {
-        if (quota_.full() && overflow_.full()) return out_of_descriptors();
+    resume_accepting_.set(deadlines_, now + kAcceptRetryDelay, [this] {
+        if (client_quota_.full() && overflow_quota_.full()) return pause_accepting();
         if (listener_) listener_->resume();
     });
 }
 
-// Who only stands at the door goes first, then whoever has idled longest: guards the clients' share against
-// those that come by the hundreds and say nothing.
-bool ClientListener::make_room() {
-    // Its descriptor is wanted now: the longest to linger gives its own, and is closed as it would be in a
-    // moment.
-    if (lingering_.full()) {
-        const auto oldest =
-            std::find_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->lingers(); });
-        if (oldest == sessions_.end()) return false;
-        (*oldest)->close();
-    }
-    for (const auto may_go : {&Session::idles_at_the_door, &Session::rests})
-        for (auto& s : sessions_)
-            if ((s.get()->*may_go)()) {
-                s->finish();
+// A client that has sent no query goes first, then the one idle for longest: clients that connect by the
+// hundreds and send nothing must not keep others out.
+bool ClientListener::close_one_idle_session() {
+    if (lingering_quota_.full() && !release_lingering_slot()) return false;
+    for (const auto may_close : {&ClientSession::is_idle_before_first_query, &ClientSession::is_idle}) {
+        for (auto& session : sessions_) {
+            if ((session.get()->*may_close)()) {
+                session->finish();
                 return true;
             }
+        }
+    }
     return false;
 }
 
-void ClientListener::fit() {
-    int many = quota_.taken() - quota_.most();
-    for (auto it = sessions_.begin(); many > 0 && it != sessions_.end();) {
-        auto& s = **it++;  // closing takes it off the list
-        if (!s.rests()) continue;
-        s.finish();
-        --many;
-    }
+// Closes the session that lingers for longest.
+bool ClientListener::release_lingering_slot() {
+    const auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
+                                     [](const auto& session) { return session->is_lingering(); });
+    if (oldest == sessions_.end()) return false;
+    (*oldest)->close();
+    return true;
+}
+
+void ClientListener::shrink_to_quota() {
+    int excess = client_quota_.taken() - client_quota_.most();
+    for_each_session([&](ClientSession& session) {
+        if (excess <= 0) return false;
+        if (session.is_idle()) {
+            session.finish();
+            --excess;
+        }
+        return true;
+    });
 }
 
-void ClientListener::stop(bool succeeded) {
+void ClientListener::stop(bool has_successor) {
     if (stopping_since_) return;
-    succeeded_ = succeeded;
+    has_successor_ = has_successor;
     stopping_since_ = deadlines_.now();
-    office_.linger_until = stopping_since_ + longest_wait_ + kLastAnswer + kLastLinger;
+    context_.linger_deadline = stopping_since_ + longest_wait_ + kFailAllAfterLongestWait + kLastLinger;
     log::line("stopping", std::to_string(sessions_.size()) + " clients connected");
-    wind_down();
+    continue_stop();
 }
 
-// Clients may go on with the connections they have, and where the other proxies are being started anew there
-// is nowhere else for them to go: so those in use are closed late, those that rest early, each between
-// requests.
-void ClientListener::wind_down() {
-    const Time now = deadlines_.now(), stopped_for = now - stopping_since_;
-    if (listener_ && (succeeded_ || (stopped_for >= kStillComing && now >= accepted_at_ + kLastArrival)))
-        stop_listening();
-    // Closed right behind its answer a connection crosses no query; with a successor that can begin at once.
-    const bool last_moment = stopped_for >= std::max(kStillComing, longest_wait_ - kLeaveEarly);
-    office_.closing = succeeded_ || last_moment;
-    const bool at_once = stopped_for >= longest_wait_ + kLastAnswer;
-    if (at_once) stop_listening();
-    for (auto it = sessions_.begin(); it != sessions_.end();) {
-        auto& s = **it++;  // closing takes it off the list
-        if (at_once)
-            s.abandon();
-        else if (s.between_requests() && (last_moment || s.quiet_since() < now - kRests))
-            s.finish();
-    }
-    stop_.set(deadlines_, now + kLook, [this] { wind_down(); });
+// Where the other proxies restart as well, clients cannot go elsewhere: sessions in use are closed late, idle
+// ones early, each between requests.
+void ClientListener::continue_stop() {
+    const Time now = deadlines_.now();
+    const Micros stopped_for = now - stopping_since_;
+    const bool may_stop_listening =
+        stopped_for >= kMinListenTime && now >= last_accepted_at_ + kListenTimeAfterArrival;
+    if (listener_ && (has_successor_ || may_stop_listening)) stop_listening();
+    const bool close_all =
+        stopped_for >= std::max(kMinListenTime, longest_wait_ - kCloseAllBeforeLongestWait);
+    // Closed right behind its response a connection loses no query; with a successor that begins at once.
+    context_.close_after_response = has_successor_ || close_all;
+    const bool fail_all = stopped_for >= longest_wait_ + kFailAllAfterLongestWait;
+    if (fail_all) stop_listening();
+    for_each_session([&](ClientSession& session) {
+        if (fail_all)
+            session.fail_requests_and_finish();
+        else if (session.is_between_requests() &&
+                 (close_all || session.last_active_at() < now - kStopIdleTimeout))
+            session.finish();
+        return true;
+    });
+    continue_stop_.set(deadlines_, now + kStopInterval, [this] { continue_stop(); });
 }
 
 void ClientListener::stop_listening() {
-    resume_.clear();
+    resume_accepting_.clear();
     if (!listener_) return;
-    // Those that the kernel has taken already are served or told; once nothing listens they would be reset.
+    // Connections that the kernel has accepted would be reset once nothing listens.
     listener_->take_all();
     listener_.reset();
 }
 
-void ClientListener::used(Session& session) {
-    sessions_.splice(sessions_.end(), sessions_, places_.at(&session));
+void ClientListener::session_used(ClientSession& session) {
+    sessions_.splice(sessions_.end(), sessions_, positions_.at(&session));
 }
 
-void ClientListener::over(Session& session) {
-    const auto place = places_.find(&session);
-    if (place == places_.end()) return;
-    loop_.delete_later(std::move(*place->second));
-    sessions_.erase(place->second);
-    places_.erase(place);
+void ClientListener::session_closed(ClientSession& session) {
+    const auto position = positions_.find(&session);
+    if (position == positions_.end()) return;
+    loop_.delete_later(std::move(*position->second));
+    sessions_.erase(position->second);
+    positions_.erase(position);
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -1,4 +1,5 @@
-// Where clients come in: the listener and all the sessions.
+// Accepts clients and owns their sessions: bounds their number, closes idle ones for others that wait, and
+// winds all of them down when the proxy stops.
 #pragma once
 
 #include <list>
@@ -6,72 +7,83 @@
 #include <memory>
 #include <optional>
 
-#include "sessions/session.h"
+#include "sessions/client_session.h"
 #include "transport/quota.h"
 
 namespace sloestack::downstream {
 
-// Where clients connect: at an address, or on a socket that the platform holds and that listens already.
-struct Entrance {
+// Where clients connect: at an address, or on a listening socket that the process was started with.
+struct ListenEndpoint {
     sockaddr_in address{};
-    std::optional<int> passed_socket = {};
+    std::optional<int> inherited_socket = {};
 };
 
-class ClientListener final : private SessionOwner {
+class ClientListener final : private ClientSessionOwner {
 public:
-    // The shares of descriptors that clients' connections have, by what state these are in.
+    // The shares of the process's descriptors that clients' connections have, by their state.
     struct Quotas {
-        net::Quota& clients;
-        net::Quota& overflow;   // of those that are only told to come again
-        net::Quota& lingering;  // of those that have ended on this side
+        net::Quota& clients;    // served
+        net::Quota& overflow;   // only told to retry later
+        net::Quota& lingering;  // in a lingering close
     };
-    // `class_overlaps` has a word for each of `class_names`. `seed` is for the keys that clients cancel by.
+    // `class_may_overlap` has an element for each of `class_names`. `longest_wait`, of any client for a
+    // response, bounds how long a stop takes. `seed` is for the keys that clients cancel by. All references
+    // outlive the listener.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
-                   net::Room& room, metrics::Numbers& numbers, const Entrance& at,
-                   traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
-                   std::vector<bool> class_overlaps, bool sessions_named, Micros longest_wait,
-                   std::uint64_t seed);
+                   net::Room& large_statement_budget, metrics::Numbers& metrics,
+                   const ListenEndpoint& listen_endpoint, traffic::RequestDispatcher& dispatcher,
+                   std::vector<std::string> class_names, std::vector<bool> class_may_overlap,
+                   bool uses_session_tokens, Micros longest_wait, std::uint64_t seed);
     ~ClientListener();
 
     // Begins to accept. Throws std::runtime_error where the address cannot be listened on.
     void open();
-    bool accepting() const { return listener_ && !stopping_since_; }
-    // Closes down in order: clients are still served for a while, each connection is closed between its
-    // requests, and over() holds once the last answer has left. `longest_wait`, of any client for an answer,
-    // bounds all of it. Where a successor accepts clients this listener closes at once.
-    void stop(bool succeeded);
-    // Closes idle clients for as long as the share is exceeded; those that are busy end after their answers.
-    void fit();
-    bool over() const { return stopping_since_ && !listener_ && sessions_.empty(); }
+    bool is_accepting() const { return listener_ && !stopping_since_; }
+    // Stops in order: clients are still served for a while, each connection is closed between its requests,
+    // and is_stopped() holds once the last response has left. Where another process accepts clients already
+    // (`has_successor`), this one stops listening at once.
+    void stop(bool has_successor);
+    bool is_stopped() const { return stopping_since_ && !listener_ && sessions_.empty(); }
+    // Closes idle sessions while there are more than the quota allows, as after it has been lowered; busy
+    // ones close after their responses.
+    void shrink_to_quota();
     std::uint16_t port() const { return listener_->port(); }
-    std::size_t sessions() const { return sessions_.size(); }
+    std::size_t session_count() const { return sessions_.size(); }
 
 private:
-    using Sessions = std::list<std::unique_ptr<Session>>;
+    using Sessions = std::list<std::unique_ptr<ClientSession>>;
 
-    void accepted(evutil_socket_t fd);
-    void out_of_descriptors();
-    bool make_room();
-    void tidy();
-    void wind_down();
+    void on_accepted(evutil_socket_t fd);
+    void pause_accepting();
+    bool close_one_idle_session();
+    bool release_lingering_slot();
+    void close_long_idle_sessions();
+    void continue_stop();
     void stop_listening();
-    void used(Session& session) override;
-    void over(Session& session) override;
+    // Calls `visit` with each session, which may be closed by that, while it returns true.
+    template <class Visit>
+    void for_each_session(Visit visit);
+    void session_used(ClientSession& session) override;
+    void session_closed(ClientSession& session) override;
 
     net::Loop& loop_;
     Deadlines& deadlines_;
-    net::Quota& quota_;
-    net::Quota& overflow_;
-    net::Quota& lingering_;
-    Entrance at_;
-    Office office_;
+    net::Quota& client_quota_;
+    net::Quota& overflow_quota_;
+    net::Quota& lingering_quota_;
+    ListenEndpoint listen_endpoint_;
+    SessionContext context_;
     Sessions sessions_;  // the one used last at the back
-    std::map<const Session*, Sessions::iterator> places_;
+    std::map<const ClientSession*, Sessions::iterator> positions_;
     std::unique_ptr<net::Listener> listener_;
-    Deadline resume_, stop_, tidy_;
+    Deadline resume_accepting_;
+    Deadline continue_stop_;
+    Deadline close_idle_;
     Micros longest_wait_;
-    bool succeeded_ = false;
-    Time accepted_at_ = 0, complained_at_ = 0, stopping_since_ = 0;
+    bool has_successor_ = false;
+    Time last_accepted_at_ = 0;
+    Time last_warning_at_ = 0;
+    Time stopping_since_ = 0;  // 0 while it does not stop
 };
 
 }  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/client_session.cpp
@@ -0,0 +1,270 @@
+#include "sessions/client_session.h"
+
+#include "pgwire/build.h"
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr std::size_t kMaxUnwrittenBytes = pgwire::kLargestMessage;  // beyond which input waits
+// Unread bytes that a session may keep while all of them together hold too much.
+constexpr std::size_t kUnreadBytesUnderPressure = std::size_t{16} * 1024;
+constexpr int kMaxMessagesPerIteration = 16;  // so that no client keeps the event loop to itself
+// Clients were seen to pipeline up to nine; each open query takes an upstream connection, which are few.
+constexpr std::size_t kMaxOpenQueries = 8;
+constexpr Micros kMemoryRetryDelay = 5'000;
+constexpr Micros kIdleBeforeFirstQuery = 50'000;
+
+}  // namespace
+
+ClientSession::ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd,
+                             net::Slot slot, bool reject_requests)
+    : context_(context),
+      owner_(owner),
+      slot_(std::move(slot)),
+      reject_requests_(reject_requests),
+      statements_(context),
+      timeouts_(context.deadlines, context.deadlines.now(), [this] { on_timeout(); }),
+      connection_(
+          net::Connection::accepted(context.loop, fd, kMaxUnreadStartupBytes, *this, &context.account)),
+      framer_(connection_.get(), context.large_statement_budget),
+      responses_(context, *this, connection_.get()),
+      disconnect_detector_(context.deadlines, *this, connection_.get()) {
+    if (!connection_) return;
+    cancel_key_ = context_.cancel_keys.add(*this);
+    renew_timeout();
+}
+
+ClientSession::~ClientSession() { context_.cancel_keys.remove(cancel_key_); }
+
+bool ClientSession::has_no_input() const {
+    return responses_.empty() && !framer_.has_partial_message() && connection_->quiet();
+}
+
+bool ClientSession::is_between_requests() const { return state_ == State::open && has_no_input(); }
+
+bool ClientSession::is_idle() const { return is_between_requests() && connection_->unwritten() == 0; }
+
+bool ClientSession::is_idle_before_first_query() const {
+    if (is_ending() || has_sent_query_) return false;
+    return context_.deadlines.now() - timeouts_.connected_at() > kIdleBeforeFirstQuery && has_no_input();
+}
+
+Time ClientSession::last_active_at() const {
+    return std::max({timeouts_.connected_at(), framer_.last_read_at(), responses_.last_response_at()});
+}
+
+// ---- Reading ----
+void ClientSession::received() {
+    if (state_ == State::finishing) return connection_->consume(connection_->held());
+    framer_.bytes_received(context_.deadlines.now());
+    read_messages();
+    if (input_is_paused()) disconnect_detector_.input_paused();
+    if (state_ == State::open && responses_.empty() && context_.account.over() &&
+        connection_->held() > kUnreadBytesUnderPressure)
+        fail_session(pgwire::code::kOutOfMemory, "too much is waiting to be read");
+}
+
+void ClientSession::drained() {
+    if (state_ == State::finishing) return linger();
+    if (responses_.is_streaming()) {
+        responses_.resume_stream();
+        return renew_timeout();
+    }
+    read_messages();
+}
+
+void ClientSession::read_messages() {
+    if (is_reading_) return;  // a response written while reading: the loop below goes on
+    is_reading_ = true;
+    try {
+        int left = kMaxMessagesPerIteration;
+        while (left > 0 && read_message()) --left;
+        if (left == 0)
+            resume_reading_.set(context_.deadlines, context_.deadlines.now(), [this] { read_messages(); });
+    } catch (const pgwire::BadMessage& error) {
+        if (!is_ending()) fail_session(pgwire::code::kProtocolViolation, error.what());
+    }
+    is_reading_ = false;
+    if (input_has_ended_ && responses_.empty() && !resume_reading_.is_set() && state_ != State::closed)
+        finish();
+    renew_timeout();
+}
+
+bool ClientSession::read_message() {
+    if (is_ending()) return false;
+    if (connection_->unwritten() > kMaxUnwrittenBytes) return false;  // goes on once drained
+    if (!responses_.empty() && !next_query_may_overlap()) return false;
+    if (framer_.in_large_statement()) return continue_large_statement();
+    if (state_ == State::open) {
+        if (const auto size = framer_.large_statement_size()) return begin_large_statement(*size);
+    }
+    return read_small_message();
+}
+
+bool ClientSession::read_small_message() {
+    const auto message = state_ == State::startup ? framer_.next_startup() : framer_.next_message();
+    if (!message) return false;
+    owner_.session_used(*this);
+    timeouts_.message_read();
+    message_arrived_at_ = framer_.arrival_of(*message);
+    // Handled before it is consumed: the message stands in the connection's buffer.
+    if (state_ == State::startup)
+        handle_startup(message->body);
+    else
+        handle_message(*message);
+    if (state_ == State::closed) return false;
+    framer_.consume(*message);
+    return true;
+}
+
+// Memory for all of it is reserved before its body is read; until then that waits in the kernel.
+bool ClientSession::begin_large_statement(std::size_t size) {
+    if (!framer_.reserve_large_statement(size)) {
+        const Time retry_at = context_.deadlines.now() + kMemoryRetryDelay;
+        resume_reading_.set(context_.deadlines, retry_at, [this] { read_messages(); });
+        return false;
+    }
+    owner_.session_used(*this);
+    framer_.begin_large_statement(size);
+    return continue_large_statement();
+}
+
+bool ClientSession::continue_large_statement() {
+    auto statement = framer_.read_large_statement();
+    if (!statement) return false;
+    timeouts_.message_read();
+    message_arrived_at_ = framer_.large_statement_arrival();
+    auto& text = statement->text;
+    if (text.find('\0') != text.size() - 1) throw pgwire::BadMessage("a query without its end");
+    text.pop_back();
+    if (skip_to_sync_) return true;
+    handle_query(std::move(text), std::move(statement->memory));
+    return state_ != State::closed;
+}
+
+// Only reads may overlap with reads; anything else, and what is malformed, waits for its turn.
+bool ClientSession::next_query_may_overlap() const {
+    if (framer_.in_large_statement() || skip_to_sync_) return false;
+    if (responses_.size() >= kMaxOpenQueries || context_.account.over()) return false;
+    // All before the last one have passed the same check.
+    if (!statements_.may_overlap(responses_.last_request_class())) return false;
+    try {
+        const auto text = framer_.peek_query(kMaxUnreadBehindRequestBytes);
+        return text && statements_.may_overlap(statements_.request_class_of(*text));
+    } catch (const pgwire::BadMessage&) {
+        return false;
+    }
+}
+
+bool ClientSession::input_is_paused() const {
+    return !responses_.empty() && state_ == State::open &&
+           connection_->held() >= kMaxUnreadBehindRequestBytes;
+}
+
+// ---- Responses ----
+void ClientSession::all_responses_written() {
+    disconnect_detector_.stop();
+    connection_->bound_unread(kMaxUnreadBytes);
+    // Between requests only: a query may have been sent right behind the one just answered.
+    const bool should_close = context_.close_after_response || context_.client_quota.over();
+    if (should_close && is_between_requests()) return finish();
+    read_messages();
+}
+
+// A response of which part has been written cannot be canceled.
+void ClientSession::cancel() {
+    if (responses_.empty() || responses_.is_streaming() || state_ != State::open) return;
+    responses_.cancel_first();
+}
+
+// ---- Time limits ----
+void ClientSession::renew_timeout() {
+    if (is_ending()) return;
+    SessionActivity activity;
+    activity.is_started = state_ == State::open;
+    activity.has_sent_query = has_sent_query_;
+    activity.waits_for_proxy = !responses_.empty() || framer_.waits_for_memory();
+    activity.has_partial_message = framer_.has_partial_message();
+    activity.in_large_statement = framer_.in_large_statement();
+    activity.unwritten_bytes = connection_->unwritten();
+    activity.sent_bytes = connection_->sent();
+    activity.last_read_at = framer_.last_read_at();
+    activity.last_response_at = responses_.last_response_at();
+    timeouts_.renew(activity);
+}
+
+void ClientSession::on_timeout() {
+    if (connection_->unwritten() > 0) {
+        if (timeouts_.write_has_stalled(connection_->sent())) return close();
+        return renew_timeout();
+    }
+    if (state_ == State::open && framer_.has_partial_message())
+        return fail_session(pgwire::code::kProtocolViolation, "a message without its end");
+    // What waits in the kernel is about to be read: a request may be coming in.
+    if (state_ == State::open && !is_between_requests()) return renew_timeout();
+    finish();
+}
+
+// ---- The end ----
+void ClientSession::ended(net::Ending how) {
+    if (how == net::Ending::broken) return close();
+    input_has_ended_ = true;
+    if (state_ == State::finishing) {
+        if (connection_->unwritten() == 0) close();
+        return;
+    }
+    read_messages();
+    if (!responses_.empty() && state_ != State::closed) disconnect_detector_.input_ended();
+}
+
+void ClientSession::fail_requests_and_finish() {
+    responses_.fail_all();
+    finish();
+}
+
+void ClientSession::finish() {
+    if (is_ending()) return;
+    state_ = State::finishing;
+    responses_.withdraw_all();
+    framer_.stop();
+    disconnect_detector_.stop();
+    resume_reading_.clear();
+    if (auto slot = context_.lingering_quota.take()) slot_ = std::move(slot);
+    connection_->consume(connection_->held());
+    connection_->bound_unread(kMaxUnreadBytes);
+    if (connection_->unwritten() == 0) return linger();
+    await_final_write();
+}
+
+void ClientSession::await_final_write() {
+    timeouts_.await_write_progress(connection_->sent(), [this] {
+        if (timeouts_.write_has_stalled(connection_->sent())) return close();
+        await_final_write();
+    });
+}
+
+void ClientSession::linger() {
+    if (is_lingering_) return;
+    is_lingering_ = true;
+    connection_->consume(connection_->held());
+    connection_->end_writing();
+    // A client that has ended its input has nothing left to be read. Not closed here: the owner may be
+    // iterating over its sessions.
+    if (input_has_ended_) return timeouts_.call_soon([this] { close(); });
+    timeouts_.await_close(context_.linger_deadline, [this] { close(); });
+}
+
+void ClientSession::close() {
+    if (state_ == State::closed) return;
+    state_ = State::closed;
+    responses_.withdraw_all();
+    framer_.stop();
+    timeouts_.clear();
+    disconnect_detector_.stop();
+    resume_reading_.clear();
+    connection_.reset();
+    slot_ = net::Slot();
+    owner_.session_closed(*this);
+}
+
+}  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -0,0 +1,111 @@
+// How a client session handles each message of PostgreSQL's protocol.
+#include "pgwire/build.h"
+#include "pgwire/statement.h"
+#include "sessions/client_session.h"
+#include "sessions/response_messages.h"
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr Micros kRetryAfterWhenBusy = 1'000'000;
+
+}  // namespace
+
+void ClientSession::handle_startup(std::string_view body) {
+    const auto startup = pgwire::read_startup(body);
+    if (startup.kind == pgwire::Startup::encryption) return responses_.respond("N");
+    if (startup.kind == pgwire::Startup::cancel) {
+        // As in PostgreSQL nothing is answered here; the session that it names answers its own client.
+        auto* session = context_.cancel_keys.find({startup.process, startup.secret});
+        if (session) session->cancel();
+        return finish();
+    }
+    state_ = State::open;
+    connection_->bound_unread(kMaxUnreadBytes);
+    responses_.respond(greeting(cancel_key_, startup.minor > 0));
+}
+
+void ClientSession::handle_message(const pgwire::Message& message) {
+    if (skip_to_sync_ && message.type != 'S' && message.type != 'X') return;
+    switch (message.type) {
+        case 'Q': {
+            pgwire::Fields fields(message.body);
+            const auto text = fields.text();
+            if (!fields.empty()) throw pgwire::BadMessage("a query with bytes behind its end");
+            return handle_query(std::string(text));
+        }
+        case 'X':
+            return finish();
+        case 'S':
+            skip_to_sync_ = false;
+            return responses_.respond(ready_for_query());
+        case 'H':
+            return;
+        case 'P':
+        case 'B':
+        case 'D':
+        case 'E':
+        case 'C':
+        case 'F':
+            skip_to_sync_ = message.type != 'F';
+            return responses_.respond(unsupported_message_response(message.type));
+        default:
+            throw pgwire::BadMessage("a message of an unknown type");
+    }
+}
+
+void ClientSession::handle_query(std::string text, std::shared_ptr<void> memory) {
+    has_sent_query_ = true;
+    if (pgwire::is_blank(text)) {
+        // Load balancers take the response for readiness.
+        if (!context_.dispatcher.able_to_serve())
+            return respond_with_error(pgwire::code::kCannotConnectNow, "no member is known yet");
+        return responses_.respond(empty_query_response());
+    }
+    if (reject_requests_) {
+        reject_request(statements_.request_class_of(text), kRetryAfterWhenBusy);
+        return finish();
+    }
+    auto result = statements_.read(std::move(text), std::move(memory), message_arrived_at_);
+    if (const auto* error = std::get_if<StatementError>(&result)) return reject_statement(*error);
+    auto& statement = std::get<ParsedStatement>(result);
+    // An endpoint that drops repeats cannot tell two requests of one name apart.
+    if (!context_.open_request_ids.emplace(statement.id).second) {
+        context_.metrics.answered(statement.request.arrival.request_class, metrics::Numbers::errors);
+        return respond_with_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
+    }
+    connection_->bound_unread(kMaxUnreadBehindRequestBytes);
+    responses_.submit(std::move(statement));
+}
+
+void ClientSession::reject_statement(const StatementError& error) {
+    switch (error.kind) {
+        case StatementError::Kind::malformed:
+        case StatementError::Kind::unknown_class:
+            return respond_with_error(pgwire::code::kInvalidParameter, error.message);
+        case StatementError::Kind::unknown_replica_group:
+            context_.metrics.answered(error.request_class, metrics::Numbers::shed);
+            return responses_.respond(error_response(
+                pgwire::code::kCannotConnectNow, "no member of this cluster is known", kRetryAfterWhenBusy));
+        case StatementError::Kind::deadline_exceeded:
+            context_.metrics.given_up(error.request_class, decision::RejectionReason::deadline_exceeded);
+            return reject_request(error.request_class, 0);
+    }
+}
+
+// A rejection that waits behind open reads counts as one of its class, so that reads behind it may overlap.
+void ClientSession::reject_request(int request_class, Micros retry_after) {
+    context_.metrics.answered(request_class, metrics::Numbers::shed);
+    responses_.respond(rejection_response(retry_after), request_class);
+}
+
+void ClientSession::respond_with_error(std::string_view sqlstate, std::string_view message) {
+    responses_.respond(error_response(sqlstate, message));
+}
+
+void ClientSession::fail_session(std::string_view sqlstate, std::string_view message) {
+    responses_.respond(fatal_error(sqlstate, message));
+    finish();
+}
+
+}  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -0,0 +1,41 @@
+#include "sessions/disconnect_detector.h"
+
+#include "sessions/response_messages.h"
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr Micros kFirstCheckDelay = 2'000;  // a round trip
+constexpr Micros kCheckInterval = 10'000;   // a reset may come at any time
+
+}  // namespace
+
+void DisconnectDetector::input_ended() { schedule_check(kFirstCheckDelay); }
+
+void DisconnectDetector::input_paused() {
+    if (!check_.is_set()) schedule_check(kCheckInterval);
+}
+
+bool DisconnectDetector::client_has_left() {
+    if (connection_->healthy()) return false;
+    // The caller may be in the midst of work for this session.
+    check_.set(deadlines_, deadlines_.now(), [this] { owner_.client_left(); });
+    return true;
+}
+
+void DisconnectDetector::schedule_check(Micros delay) {
+    if (owner_.is_streaming_response()) return;
+    if (!notice_sent_ && (owner_.input_has_ended() || connection_->peer_has_ended())) {
+        notice_sent_ = true;
+        connection_->write(input_ended_notice());
+    }
+    check_.set(deadlines_, deadlines_.now() + delay, [this] { check(); });
+}
+
+void DisconnectDetector::check() {
+    if (!connection_->healthy()) return owner_.client_left();
+    const bool input_matters = owner_.input_has_ended() || owner_.input_is_paused();
+    if (owner_.waits_for_response() && input_matters) schedule_check(kCheckInterval);
+}
+
+}  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/response_writer.cpp
@@ -0,0 +1,156 @@
+#include "sessions/response_writer.h"
+
+#include "invariant/invariant.h"
+#include "pgwire/build.h"
+#include "sessions/response_messages.h"
+
+namespace sloestack::downstream {
+namespace {
+
+using metrics::Numbers;
+
+// Of a streamed response, beyond what the client's kernel has taken.
+constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
+
+}  // namespace
+
+void ResponseWriter::submit(ParsedStatement statement) {
+    auto query = std::make_unique<Query>(*this, statement.request.arrival.request_class);
+    query->id = std::move(statement.id);
+    queries_.push_back(std::move(query));
+    auto& last = *queries_.back();
+    last.request = context_.dispatcher.take(std::move(statement.request), last);
+}
+
+void ResponseWriter::respond(std::string bytes, int request_class) {
+    if (queries_.empty()) return connection_->write(bytes);
+    queries_.push_back(std::make_unique<Query>(*this, request_class));
+    hold(*queries_.back(), std::move(bytes));
+}
+
+void ResponseWriter::cancel_first() {
+    auto& first = *queries_.front();
+    withdraw(first);
+    context_.metrics.answered(first.request_class, Numbers::errors);
+    complete(first, error_response(pgwire::code::kQueryCanceled, "canceled at the client's request"));
+}
+
+void ResponseWriter::fail_all() {
+    const bool response_is_incomplete = is_streaming();
+    for (auto& query : queries_) {
+        auto bytes = take_held(*query);
+        if (query->request) {
+            withdraw(*query);
+            context_.metrics.answered(query->request_class, Numbers::errors);
+            bytes = error_response(pgwire::code::kAdminShutdown, "the proxy is stopping");
+        }
+        if (!response_is_incomplete) connection_->write(bytes);
+    }
+}
+
+void ResponseWriter::withdraw_all() {
+    for (auto& query : queries_) {
+        take_held(*query);
+        withdraw(*query);
+    }
+    queries_.clear();
+}
+
+void ResponseWriter::on_value(Query& query, const traffic::Value& value) {
+    context_.metrics.answered(query.request_class, Numbers::ok);
+    complete(query, value_response(value));
+}
+
+void ResponseWriter::on_stream_begun(Query& query, const traffic::Value& head, std::size_t size,
+                                     traffic::Source& source) {
+    auto bytes = value_response_head(head, size);
+    query.source = &source;
+    if (!is_first(query)) {
+        source.hold(true);
+        return hold(query, std::move(bytes));
+    }
+    connection_->write(bytes);
+    owner_.response_progressed();
+}
+
+void ResponseWriter::on_stream_piece(Query& query, std::string_view bytes) {
+    if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
+    connection_->write(bytes);
+    const std::size_t window = context_.account.over() ? 0 : kStreamWindowBytes;
+    if (connection_->unwritten() > window) query.source->hold(true);
+    owner_.response_progressed();
+}
+
+void ResponseWriter::on_stream_end(Query& query, const std::string& tag) {
+    context_.metrics.answered(query.request_class, Numbers::ok);
+    complete(query, value_response_end(tag));
+}
+
+void ResponseWriter::on_stream_cut_off(Query& query) {
+    if (!is_first(query)) {
+        // Nothing of it has been written.
+        take_held(query);
+        return on_failed(query);
+    }
+    context_.metrics.answered(query.request_class, Numbers::errors);
+    release(query);
+    owner_.response_incomplete();
+}
+
+void ResponseWriter::on_rejected(Query& query, Micros retry_after) {
+    context_.metrics.answered(query.request_class, Numbers::shed);
+    complete(query, rejection_response(retry_after));
+}
+
+void ResponseWriter::on_failed(Query& query) {
+    context_.metrics.answered(query.request_class, Numbers::errors);
+    complete(query, error_response(pgwire::code::kSystemError, "no member has answered in time"));
+}
+
+void ResponseWriter::complete(Query& query, std::string bytes) {
+    release(query);
+    query.source = nullptr;
+    if (!is_first(query)) return hold(query, std::move(bytes));
+    connection_->write(bytes);
+    queries_.pop_front();
+    continue_with_next();
+}
+
+void ResponseWriter::continue_with_next() {
+    last_response_at_ = context_.deadlines.now();
+    while (!queries_.empty() && !queries_.front()->request) {
+        connection_->write(take_held(*queries_.front()));
+        queries_.pop_front();
+    }
+    if (queries_.empty()) return owner_.all_responses_written();
+    owner_.response_written();
+    if (!is_streaming()) return;
+    auto& first = *queries_.front();
+    connection_->write(take_held(first));
+    owner_.response_progressed();
+    first.source->hold(false);  // last: its bytes come at once, and its end may
+}
+
+void ResponseWriter::hold(Query& query, std::string bytes) {
+    SLOESTACK_INVARIANT(query.held_response.empty(), "a query has one answer");
+    context_.account.add(bytes.size());
+    query.held_response = std::move(bytes);
+}
+
+std::string ResponseWriter::take_held(Query& query) {
+    context_.account.remove(query.held_response.size());
+    return std::exchange(query.held_response, {});
+}
+
+traffic::RequestId ResponseWriter::release(Query& query) {
+    if (!query.id.empty()) context_.open_request_ids.erase(query.id);
+    query.id.clear();
+    return std::exchange(query.request, 0);
+}
+
+void ResponseWriter::withdraw(Query& query) {
+    query.source = nullptr;
+    if (const auto request = release(query)) context_.dispatcher.withdraw(request);
+}
+
+}  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/session_timeouts.cpp
@@ -0,0 +1,51 @@
+#include "sessions/session_timeouts.h"
+
+#include <algorithm>
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr Micros kFirstQueryTimeout = 2'400'000;
+constexpr Micros kMessageTimeout = 2'200'000;             // from its first byte to its last
+constexpr Micros kLargeStatementPartTimeout = 2'200'000;  // from one part to the next
+constexpr Micros kIdleTimeout = 10'000'000;               // the client may connect again
+constexpr Micros kWriteStallTimeout = 5'000'000;
+constexpr Micros kLingerTimeout = 1'000'000;  // for the client to read its last response and to close as well
+
+}  // namespace
+
+void SessionTimeouts::renew(const SessionActivity& activity) {
+    const Time now = deadlines_.now();
+    if (activity.has_partial_message && !message_begun_at_) message_begun_at_ = now;
+    if (activity.unwritten_bytes > 0) {
+        if (limit_.is_set() && write_has_stalled(activity.sent_bytes)) return;
+        return await_write_progress(activity.sent_bytes, on_expired_);
+    }
+    if (activity.waits_for_proxy) return limit_.clear();
+    limit_.set(deadlines_, waiting_limit(activity), on_expired_);
+}
+
+Time SessionTimeouts::waiting_limit(const SessionActivity& activity) const {
+    const Time first_query_limit = connected_at_ + kFirstQueryTimeout;
+    if (activity.in_large_statement) return activity.last_read_at + kLargeStatementPartTimeout;
+    if (!activity.is_started) return first_query_limit;
+    if (activity.has_partial_message) return std::max(first_query_limit, message_begun_at_ + kMessageTimeout);
+    if (!activity.has_sent_query) return first_query_limit;
+    return std::max(activity.last_read_at, activity.last_response_at) + kIdleTimeout;
+}
+
+void SessionTimeouts::await_write_progress(std::uint64_t sent_bytes, std::function<void()> on_stalled) {
+    sent_bytes_when_set_ = sent_bytes;
+    limit_.set(deadlines_, deadlines_.now() + kWriteStallTimeout, std::move(on_stalled));
+}
+
+void SessionTimeouts::await_close(Time latest, std::function<void()> on_expired) {
+    const Time limit = std::min(deadlines_.now() + kLingerTimeout, latest);
+    limit_.set(deadlines_, limit, std::move(on_expired));
+}
+
+void SessionTimeouts::call_soon(std::function<void()> callback) {
+    limit_.set(deadlines_, deadlines_.now(), std::move(callback));
+}
+
+}  // namespace sloestack::downstream
--- /dev/null
+++ b/src/downstream/sessions/statement_reader.cpp
@@ -0,0 +1,79 @@
+#include "sessions/statement_reader.h"
+
+#include <algorithm>
+
+#include "pgwire/statement.h"
+
+namespace sloestack::downstream {
+namespace {
+
+constexpr Micros kMicrosPerMillisecond = 1000;
+
+// FNV-1a, 64 bits; never 0, which stands for no session.
+std::uint64_t session_token(std::string_view name) {
+    constexpr std::uint64_t kOffsetBasis = 14695981039346656037u;
+    constexpr std::uint64_t kPrime = 1099511628211u;
+    std::uint64_t hash = kOffsetBasis;
+    for (const unsigned char byte : name) hash = (hash ^ byte) * kPrime;
+    return hash ? hash : 1;
+}
+
+}  // namespace
+
+std::variant<ParsedStatement, StatementError> StatementReader::read(std::string text,
+                                                                    std::shared_ptr<void> memory,
+                                                                    Time received_at) const {
+    using Kind = StatementError::Kind;
+    auto statement = std::make_shared<traffic::Statement>();
+    statement->text = std::move(text);
+    statement->room = std::move(memory);
+    pgwire::Tags tags;
+    try {
+        tags = pgwire::read_tags(statement->text);
+    } catch (const pgwire::BadMessage& error) {
+        return StatementError{Kind::malformed, kUnknownRequestClass, error.what()};
+    }
+    const int request_class = find_class(tags.request_class);
+    if (request_class == kUnknownRequestClass)
+        return StatementError{Kind::unknown_class, request_class,
+                              "unknown class " + std::string(tags.request_class)};
+    if (!context_.dispatcher.knows_group(tags.cluster))
+        return StatementError{Kind::unknown_replica_group, request_class};
+
+    const Time now = context_.deadlines.now();
+    ParsedStatement parsed;
+    auto& arrival = parsed.request.arrival;
+    arrival.request_class = request_class;
+    arrival.replica_group = tags.cluster;
+    arrival.deadline = received_at + tags.left_ms * kMicrosPerMillisecond;
+    if (arrival.deadline <= now) return StatementError{Kind::deadline_exceeded, request_class};
+    arrival.is_retry = tags.repeat;
+    if (context_.uses_session_tokens) arrival.session = session_token(tags.quoted);
+    if (tags.after_ms && *tags.after_ms > 0)
+        arrival.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * kMicrosPerMillisecond);
+    parsed.id = tags.id;
+    statement->left_at = tags.left_at;
+    statement->left_size = tags.left_size;
+    parsed.request.statement = std::move(statement);
+    return parsed;
+}
+
+int StatementReader::request_class_of(std::string_view text) const {
+    try {
+        return find_class(pgwire::read_tags(text).request_class);
+    } catch (const pgwire::BadMessage&) {
+        return kUnknownRequestClass;
+    }
+}
+
+bool StatementReader::may_overlap(int request_class) const {
+    return request_class >= 0 && context_.class_may_overlap[static_cast<std::size_t>(request_class)];
+}
+
+int StatementReader::find_class(std::string_view name) const {
+    const auto& names = context_.class_names;
+    const auto found = std::find(names.begin(), names.end(), name);
+    return found == names.end() ? kUnknownRequestClass : static_cast<int>(found - names.begin());
+}
+
+}  // namespace sloestack::downstream
