--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -225,7 +225,7 @@
 void ClientSession::finish() {
     if (is_ending()) return;
     state_ = State::finishing;
-    responses_.withdraw_all();
+    responses_.discard_all();
     framer_.stop();
     disconnect_detector_.stop();
     resume_reading_.clear();
@@ -257,7 +257,7 @@
 void ClientSession::close() {
     if (state_ == State::closed) return;
     state_ = State::closed;
-    responses_.withdraw_all();
+    responses_.discard_all();
     framer_.stop();
     timeouts_.clear();
     disconnect_detector_.stop();
--- a/src/downstream/sessions/client_session.h
+++ b/src/downstream/sessions/client_session.h
@@ -76,13 +76,13 @@
     void response_written() override { read_messages(); }
     void all_responses_written() override;
     void response_incomplete() override { finish(); }
-    bool client_has_left() override { return disconnect_detector_.client_has_left(); }
+    bool client_disconnected() override { return disconnect_detector_.client_disconnected(); }
 
     bool input_has_ended() const override { return input_has_ended_; }
     bool input_is_paused() const override;
     bool waits_for_response() const override { return !responses_.empty(); }
     bool is_streaming_response() const override { return responses_.is_streaming(); }
-    void client_left() override { close(); }
+    void on_client_disconnected() override { close(); }
 
     void read_messages();
     // These return whether a message has been read and more may follow.
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -58,7 +58,7 @@
     has_sent_query_ = true;
     if (pgwire::is_blank(text)) {
         // Load balancers take the response for readiness.
-        if (!context_.dispatcher.able_to_serve())
+        if (!context_.dispatcher.has_ready_endpoints())
             return respond_with_error(pgwire::code::kCannotConnectNow, "no member is known yet");
         return responses_.respond(empty_query_response());
     }
--- a/src/downstream/sessions/disconnect_detector.cpp
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -16,10 +16,10 @@
     if (!check_.is_set()) schedule_check(kCheckInterval);
 }
 
-bool DisconnectDetector::client_has_left() {
+bool DisconnectDetector::client_disconnected() {
     if (connection_->healthy()) return false;
     // The caller may be in the midst of work for this session.
-    check_.set(deadlines_, deadlines_.now(), [this] { owner_.client_left(); });
+    check_.set(deadlines_, deadlines_.now(), [this] { owner_.on_client_disconnected(); });
     return true;
 }
 
@@ -33,7 +33,7 @@
 }
 
 void DisconnectDetector::check() {
-    if (!connection_->healthy()) return owner_.client_left();
+    if (!connection_->healthy()) return owner_.on_client_disconnected();
     const bool input_matters = owner_.input_has_ended() || owner_.input_is_paused();
     if (owner_.waits_for_response() && input_matters) schedule_check(kCheckInterval);
 }
--- a/src/downstream/sessions/disconnect_detector.h
+++ b/src/downstream/sessions/disconnect_detector.h
@@ -19,7 +19,7 @@
     // Whether a response is being written in pieces: nothing may stand between these, and a client that has
     // left is noticed as they are written.
     virtual bool is_streaming_response() const = 0;
-    virtual void client_left() = 0;
+    virtual void on_client_disconnected() = 0;
 
 protected:
     ~DisconnectDetectorOwner() = default;
@@ -36,8 +36,8 @@
     void input_ended();
     // The client's input is paused: checks the connection at intervals, unless it does already.
     void input_paused();
-    // Checks at once; where the client has left, client_left() is called with the next sweep.
-    bool client_has_left();
+    // Checks at once; where the client has left, on_client_disconnected() is called with the next sweep.
+    bool client_disconnected();
     void stop() { check_.clear(); }
 
 private:
--- a/src/downstream/sessions/response_messages.cpp
+++ b/src/downstream/sessions/response_messages.cpp
@@ -71,27 +71,27 @@
     return out;
 }
 
-std::string value_response(const traffic::Value& value) {
+std::string value_response(const traffic::ResultValue& value) {
     std::string out;
     out.reserve(value.bytes.size() + kValueOverheadBytes);
-    const auto row = value.null ? std::nullopt : std::optional<std::string_view>(value.bytes);
+    const auto row = value.is_null ? std::nullopt : std::optional<std::string_view>(value.bytes);
     Builder(out)
-        .row_description(value.column, value.type, value.binary)
+        .row_description(value.column, value.type, value.is_binary)
         .data_row(row)
-        .complete(value.tag)
+        .complete(value.command_tag)
         .ready();
     return out;
 }
 
-std::string value_response_head(const traffic::Value& head, std::size_t size) {
+std::string value_response_head(const traffic::ResultValue& head, std::size_t size) {
     std::string out;
-    Builder(out).row_description(head.column, head.type, head.binary).data_row_head(size);
+    Builder(out).row_description(head.column, head.type, head.is_binary).data_row_head(size);
     return out;
 }
 
-std::string value_response_end(const std::string& tag) {
+std::string value_response_end(const std::string& command_tag) {
     std::string out;
-    Builder(out).complete(tag).ready();
+    Builder(out).complete(command_tag).ready();
     return out;
 }
 
--- a/src/downstream/sessions/response_messages.h
+++ b/src/downstream/sessions/response_messages.h
@@ -8,7 +8,7 @@
 
 #include "deadlines/clock.h"
 #include "sessions/cancel_keys.h"
-#include "traffic/traffic.h"
+#include "traffic/response.h"
 
 namespace sloestack::downstream {
 
@@ -30,9 +30,9 @@
 std::string input_ended_notice();
 
 // A whole response of one row.
-std::string value_response(const traffic::Value& value);
+std::string value_response(const traffic::ResultValue& value);
 // The beginning of a response whose value of `size` bytes follows, and what stands behind the value.
-std::string value_response_head(const traffic::Value& head, std::size_t size);
-std::string value_response_end(const std::string& tag);
+std::string value_response_head(const traffic::ResultValue& head, std::size_t size);
+std::string value_response_end(const std::string& command_tag);
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/response_writer.cpp
+++ b/src/downstream/sessions/response_writer.cpp
@@ -19,7 +19,7 @@
     query->id = std::move(statement.id);
     queries_.push_back(std::move(query));
     auto& last = *queries_.back();
-    last.request = context_.dispatcher.take(std::move(statement.request), last);
+    last.request = context_.dispatcher.submit(std::move(statement.request), last);
 }
 
 void ResponseWriter::respond(std::string bytes, int request_class) {
@@ -30,7 +30,7 @@
 
 void ResponseWriter::cancel_first() {
     auto& first = *queries_.front();
-    withdraw(first);
+    cancel_request(first);
     context_.metrics.answered(first.request_class, Numbers::errors);
     complete(first, error_response(pgwire::code::kQueryCanceled, "canceled at the client's request"));
 }
@@ -40,7 +40,7 @@
     for (auto& query : queries_) {
         auto bytes = take_held(*query);
         if (query->request) {
-            withdraw(*query);
+            cancel_request(*query);
             context_.metrics.answered(query->request_class, Numbers::errors);
             bytes = error_response(pgwire::code::kAdminShutdown, "the proxy is stopping");
         }
@@ -48,45 +48,45 @@
     }
 }
 
-void ResponseWriter::withdraw_all() {
+void ResponseWriter::discard_all() {
     for (auto& query : queries_) {
         take_held(*query);
-        withdraw(*query);
+        cancel_request(*query);
     }
     queries_.clear();
 }
 
-void ResponseWriter::on_value(Query& query, const traffic::Value& value) {
+void ResponseWriter::on_value(Query& query, const traffic::ResultValue& value) {
     context_.metrics.answered(query.request_class, Numbers::ok);
     complete(query, value_response(value));
 }
 
-void ResponseWriter::on_stream_begun(Query& query, const traffic::Value& head, std::size_t size,
-                                     traffic::Source& source) {
+void ResponseWriter::on_value_started(Query& query, const traffic::ResultValue& head, std::size_t size,
+                                      traffic::ResponseSource& source) {
     auto bytes = value_response_head(head, size);
     query.source = &source;
     if (!is_first(query)) {
-        source.hold(true);
+        source.set_paused(true);
         return hold(query, std::move(bytes));
     }
     connection_->write(bytes);
     owner_.response_progressed();
 }
 
-void ResponseWriter::on_stream_piece(Query& query, std::string_view bytes) {
+void ResponseWriter::on_value_chunk(Query& query, std::string_view bytes) {
     if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
     connection_->write(bytes);
     const std::size_t window = context_.account.over() ? 0 : kStreamWindowBytes;
-    if (connection_->unwritten() > window) query.source->hold(true);
+    if (connection_->unwritten() > window) query.source->set_paused(true);
     owner_.response_progressed();
 }
 
-void ResponseWriter::on_stream_end(Query& query, const std::string& tag) {
+void ResponseWriter::on_value_completed(Query& query, const std::string& command_tag) {
     context_.metrics.answered(query.request_class, Numbers::ok);
-    complete(query, value_response_end(tag));
+    complete(query, value_response_end(command_tag));
 }
 
-void ResponseWriter::on_stream_cut_off(Query& query) {
+void ResponseWriter::on_value_aborted(Query& query) {
     if (!is_first(query)) {
         // Nothing of it has been written.
         take_held(query);
@@ -128,7 +128,7 @@
     auto& first = *queries_.front();
     connection_->write(take_held(first));
     owner_.response_progressed();
-    first.source->hold(false);  // last: its bytes come at once, and its end may
+    first.source->set_paused(false);  // last: its bytes come at once, and its end may
 }
 
 void ResponseWriter::hold(Query& query, std::string bytes) {
@@ -148,9 +148,9 @@
     return std::exchange(query.request, 0);
 }
 
-void ResponseWriter::withdraw(Query& query) {
+void ResponseWriter::cancel_request(Query& query) {
     query.source = nullptr;
-    if (const auto request = release(query)) context_.dispatcher.withdraw(request);
+    if (const auto request = release(query)) context_.dispatcher.cancel_request(request);
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/response_writer.h
+++ b/src/downstream/sessions/response_writer.h
@@ -23,7 +23,7 @@
     virtual void all_responses_written() = 0;
     // The client can tell only by the end of the connection that its response is incomplete.
     virtual void response_incomplete() = 0;
-    virtual bool client_has_left() = 0;
+    virtual bool client_disconnected() = 0;
 
 protected:
     ~ResponseWriterOwner() = default;
@@ -35,7 +35,7 @@
     // as after the connection is closed. The writer owns neither, nor the context; all outlive its last use.
     ResponseWriter(SessionContext& context, ResponseWriterOwner& owner, net::Connection* connection)
         : context_(context), owner_(owner), connection_(connection) {}
-    ~ResponseWriter() { withdraw_all(); }
+    ~ResponseWriter() { discard_all(); }
     ResponseWriter(const ResponseWriter&) = delete;
     ResponseWriter& operator=(const ResponseWriter&) = delete;
 
@@ -50,44 +50,48 @@
     // Whether a response is being written in pieces: nothing else may be written meanwhile.
     bool is_streaming() const { return !queries_.empty() && queries_.front()->source; }
     // Lets the source of a streamed response go on, once the client has taken what was written.
-    void resume_stream() { queries_.front()->source->hold(false); }
+    void resume_stream() { queries_.front()->source->set_paused(false); }
     Time last_response_at() const { return last_response_at_; }
 
-    // Answers the first query as canceled and withdraws its request. It must not be streaming.
+    // Answers the first query as canceled and cancels its request. It must not be streaming.
     void cancel_first();
-    // Answers all queries at once, those without a response with an error, and withdraws their requests.
+    // Answers all queries at once, those without a response with an error, and cancels their requests.
     // Nothing is written behind an incomplete response.
     void fail_all();
-    // Drops all queries without a response and withdraws their requests.
-    void withdraw_all();
+    // Drops all queries without a response and cancels their requests.
+    void discard_all();
 
 private:
     struct Query final : traffic::ResponseSink {
         Query(ResponseWriter& of, int its_class) : writer(of), request_class(its_class) {}
-        void served(const traffic::Value& value) override { writer.on_value(*this, value); }
-        void begun(const traffic::Value& head, std::size_t size, traffic::Source& from) override {
-            writer.on_stream_begun(*this, head, size, from);
+        void on_value(const traffic::ResultValue& value) override { writer.on_value(*this, value); }
+        void on_value_started(const traffic::ResultValue& head, std::size_t size,
+                              traffic::ResponseSource& from) override {
+            writer.on_value_started(*this, head, size, from);
         }
-        void piece(std::string_view bytes) override { writer.on_stream_piece(*this, bytes); }
-        void finished(const std::string& tag) override { writer.on_stream_end(*this, tag); }
-        void cut_off() override { writer.on_stream_cut_off(*this); }
-        void refused(Micros retry_after) override { writer.on_rejected(*this, retry_after); }
-        void failed() override { writer.on_failed(*this); }
-        bool has_left() override { return writer.owner_.client_has_left(); }
+        void on_value_chunk(std::string_view bytes) override { writer.on_value_chunk(*this, bytes); }
+        void on_value_completed(const std::string& command_tag) override {
+            writer.on_value_completed(*this, command_tag);
+        }
+        void on_value_aborted() override { writer.on_value_aborted(*this); }
+        void on_rejected(Micros retry_after) override { writer.on_rejected(*this, retry_after); }
+        void on_failed() override { writer.on_failed(*this); }
+        bool client_disconnected() override { return writer.owner_.client_disconnected(); }
 
         ResponseWriter& writer;
-        traffic::RequestId request = 0;  // 0 once it is answered or withdrawn
+        traffic::RequestId request = 0;  // 0 once it is answered or cancelled
         int request_class;
-        std::string id;                     // the client's name for the request
-        std::string held_response;          // or the head of one, until those before it are written
-        traffic::Source* source = nullptr;  // of a response in pieces
+        std::string id;                             // the client's name for the request
+        std::string held_response;                  // or the head of one, until those before it are written
+        traffic::ResponseSource* source = nullptr;  // of a response in pieces
     };
 
-    void on_value(Query& query, const traffic::Value& value);
-    void on_stream_begun(Query& query, const traffic::Value& head, std::size_t size, traffic::Source& source);
-    void on_stream_piece(Query& query, std::string_view bytes);
-    void on_stream_end(Query& query, const std::string& tag);
-    void on_stream_cut_off(Query& query);
+    void on_value(Query& query, const traffic::ResultValue& value);
+    void on_value_started(Query& query, const traffic::ResultValue& head, std::size_t size,
+                          traffic::ResponseSource& source);
+    void on_value_chunk(Query& query, std::string_view bytes);
+    void on_value_completed(Query& query, const std::string& command_tag);
+    void on_value_aborted(Query& query);
     void on_rejected(Query& query, Micros retry_after);
     void on_failed(Query& query);
 
@@ -99,7 +103,7 @@
     std::string take_held(Query& query);
     // Detaches the query from its request, whose number is returned; 0 where it had none any more.
     traffic::RequestId release(Query& query);
-    void withdraw(Query& query);
+    void cancel_request(Query& query);
 
     SessionContext& context_;
     ResponseWriterOwner& owner_;
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -9,7 +9,7 @@
 #include "deadlines/deadlines.h"
 #include "metrics/metrics.h"
 #include "sessions/cancel_keys.h"
-#include "traffic/traffic.h"
+#include "traffic/request.h"
 #include "transport/connection.h"
 #include "transport/quota.h"
 
--- a/src/downstream/sessions/statement_reader.cpp
+++ b/src/downstream/sessions/statement_reader.cpp
@@ -26,7 +26,7 @@
     using Kind = StatementError::Kind;
     auto statement = std::make_shared<traffic::Statement>();
     statement->text = std::move(text);
-    statement->room = std::move(memory);
+    statement->memory_reservation = std::move(memory);
     pgwire::Tags tags;
     try {
         tags = pgwire::read_tags(statement->text);
@@ -37,7 +37,7 @@
     if (request_class == kUnknownRequestClass)
         return StatementError{Kind::unknown_class, request_class,
                               "unknown class " + std::string(tags.request_class)};
-    if (!context_.dispatcher.knows_group(tags.cluster))
+    if (!context_.dispatcher.knows_replica_group(tags.cluster))
         return StatementError{Kind::unknown_replica_group, request_class};
 
     const Time now = context_.deadlines.now();
@@ -52,8 +52,8 @@
     if (tags.after_ms && *tags.after_ms > 0)
         arrival.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * kMicrosPerMillisecond);
     parsed.id = tags.id;
-    statement->left_at = tags.left_at;
-    statement->left_size = tags.left_size;
+    statement->time_left_offset = tags.left_at;
+    statement->time_left_size = tags.left_size;
     parsed.request.statement = std::move(statement);
     return parsed;
 }
