--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays scenarios of the rig with one or two builds of sloestack, seed by seed in turn, and leaves a JSON report a run in
+# Plays scenarios of the fault harness with one or two builds of sloestack, seed by seed in turn, and leaves a JSON report a run in
 # a folder, for `sloestackctl fleet compare`. Nothing else should run beside it.
 #   fleet.sh FOLDER "SCENARIO..." "SIZE..." "SEED..." NAME=PROGRAM [NAME=PROGRAM]
 # SCENARIO: a file's name under fault_harness/scenarios without its ending. Sizes up to 100 are played side by side.
--- a/bench/pcap.sh
+++ b/bench/pcap.sh
@@ -5,8 +5,8 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d "${1:-/tmp}/sloestack-bench-XXXXXX")
-rig=
-trap '[ -z "$rig" ] || kill "$rig" 2>/dev/null; rm -rf "$folder"' EXIT
+demo_pid=
+trap '[ -z "$demo_pid" ] || kill "$demo_pid" 2>/dev/null; rm -rf "$folder"' EXIT
 cmake -S . -B build-bench -DCMAKE_BUILD_TYPE=Release -DSLOESTACK_BENCH=ON >/dev/null
 cmake --build build-bench -j"$(nproc)" >/dev/null
 ctl=build-bench/sloestackctl
@@ -36,11 +36,11 @@
 if [ "${only:-late}" = late ]; then
 echo "== how late sends leave, microseconds: what neither order nor a limit held; three runs each, in turn; through the"
 echo "== proxy, and straight to a member, which keeps up with all three rates (its answers have more parameters)"
-$ctl demo --seconds 0.5 --rate 50 --stay --work 0:0 --banks 4 --members 3 >"$folder/rig" &
-rig=$!
-until grep -q psql "$folder/rig"; do sleep 0.1; done
-proxy=$(sed -n 's/.*a proxy at \([0-9.:]*\) .*/\1/p' "$folder/rig")
-member=$(sed -n 's/.*first member is at \([0-9.:]*\),.*/\1/p' "$folder/rig")
+$ctl demo --seconds 0.5 --rate 50 --stay --work 0:0 --banks 4 --members 3 >"$folder/demo" &
+demo_pid=$!
+until grep -q psql "$folder/demo"; do sleep 0.1; done
+proxy=$(sed -n 's/.*a proxy at \([0-9.:]*\) .*/\1/p' "$folder/demo")
+member=$(sed -n 's/.*first member is at \([0-9.:]*\),.*/\1/p' "$folder/demo")
 for rate in 200 2000 20000; do
     $ctl pcap make --minutes 0.17 --rate $rate --clients $((rate / 10)) --groups 4 -o "$folder/late-$rate.pcap" >/dev/null
 done
--- a/tests/rehearse_test.sh
+++ b/tests/rehearse_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The commands end to end: recordings are made, played through a proxy and stand-ins, written back and compared. What
+# The commands end to end: recordings are made, played through a proxy and emulators, written back and compared. What
 # is checked holds whatever the machine's speed is: counts, agreement, rules and exit codes.
 #   rehearse_test.sh SLOESTACKCTL CASE
 set -uo pipefail
