--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -75,7 +75,7 @@
 }
 
 // Where the processes of one proxy find each other.
-std::string tie_path(const config::Config& config) {
+std::string hot_restart_path(const config::Config& config) {
     auto name = config.name;
     std::replace(name.begin(), name.end(), '/', '_');
     return config.scratch + "/sloestack-" + name;
@@ -119,25 +119,25 @@
         control_ = std::make_unique<admin::Door>(loop_, deadlines_, *config.control,
                                                  static_cast<admin::Operated&>(*this));
     if (config.passed_socket && !config.scratch.empty()) {
-        succession_ = std::make_unique<hot_restart::Succession>(loop_, deadlines_, tie_path(config),
-                                                                static_cast<hot_restart::Estate&>(*this));
-        succession_->start();
+        hot_restart_ = std::make_unique<hot_restart::HotRestart>(
+            loop_, deadlines_, hot_restart_path(config), static_cast<hot_restart::HotRestartHandler&>(*this));
+        hot_restart_->start();
     } else {
-        begin();
+        on_handover_complete();
     }
     report();
 }
 
 // ---- the processes of one proxy ----
 // The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
-void Server::begin() {
+void Server::on_handover_complete() {
     bans_.listed(decision::EndpointListKind::cached, std::move(known_.members));
     begun_ = true;
     proxy_.turn();
     if (!waits_for_list_) client_listener_->open();
 }
 
-void Server::shared_by(int processes) {
+void Server::on_process_count(int processes) {
     const auto shares = net::share(sockets_ / processes);
     clients_.allow(shares.clients);
     overflow_.allow(shares.overflow);
@@ -149,7 +149,9 @@
     pool_.fit();
 }
 
-void Server::heard(bool out, const std::string& member) { out ? bans_.ban(member) : bans_.lift(member); }
+void Server::on_exclusion_update(const std::string& endpoint, bool excluded) {
+    excluded ? bans_.ban(endpoint) : bans_.lift(endpoint);
+}
 
 // ---- what operators call ----
 std::string Server::figures() const {
@@ -171,8 +173,8 @@
 }
 
 void Server::pass_on(bool out, const std::string& member, Done done) {
-    if (!succession_) return done();
-    succession_->tell(out, member, std::move(done));
+    if (!hot_restart_) return done();
+    hot_restart_->send_exclusion_update(member, out, std::move(done));
 }
 
 void Server::turn(Micros at_most) {
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -18,7 +18,7 @@
 
 namespace sloestack::server {
 
-class Server final : private admin::Operated, private hot_restart::Estate {
+class Server final : private admin::Operated, private hot_restart::HotRestartHandler {
 public:
     // Throws config::BadConfig, or std::runtime_error where the address cannot be listened on. The clock
     // outlives it.
@@ -28,7 +28,7 @@
     void turn(Micros at_most);
     // SIGTERM and SIGINT stop it; at SIGHUP it takes over what `load` says anew.
     void obey_signals(std::function<config::Config()> load);
-    void stop() { client_listener_->stop(succession_ && succession_->has_successor()); }
+    void stop() { client_listener_->stop(hot_restart_ && hot_restart_->has_successor()); }
     bool over() const { return client_listener_->over(); }
     // Whether a list is held and clients are accepted.
     bool ready() const override {
@@ -50,11 +50,11 @@
     void pass_on(bool out, const std::string& member, Done done);
 
     // What the processes of one proxy hand on and share
-    const std::set<std::string>& banned() const override { return bans_.names(); }
-    void heard(bool out, const std::string& member) override;
-    void shared_by(int processes) override;
-    bool fits() const override { return !clients_.over() && !members_.over(); }
-    void begin() override;
+    const std::set<std::string>& excluded_endpoints() const override { return bans_.names(); }
+    void on_exclusion_update(const std::string& endpoint, bool excluded) override;
+    void on_process_count(int processes) override;
+    bool is_within_share() const override { return !clients_.over() && !members_.over(); }
+    void on_handover_complete() override;
 
     net::Loop loop_;
     Deadlines deadlines_;
@@ -75,7 +75,7 @@
     bool waits_for_list_;  // clients are let in once discovery has been heard, or has failed to answer
     std::unique_ptr<downstream::ClientListener> client_listener_;
     std::unique_ptr<admin::Door> control_;
-    std::unique_ptr<hot_restart::Succession> succession_;
+    std::unique_ptr<hot_restart::HotRestart> hot_restart_;
     Deadline report_;
     std::uint64_t told_ = 0;  // how much had been counted when the log last told the figures
 };
--- a/src/state/hot_restart/hot_restart.h
+++ b/src/state/hot_restart/hot_restart.h
@@ -1,76 +1,85 @@
-// The tie between an old process and the one that is to follow it: a Unix socket on which the old one hands
-// its bans on and both tell each other of later ones. A process may have a predecessor and a successor at
-// once.
+// Hot restart: an old and a new process of one proxy serve side by side until the old one has drained. They
+// find each other at a Unix socket; the old one (the predecessor) sends the new one (the successor) the
+// exclusions in force, and both send each other later changes. While both live, each uses its share of the
+// limits on sockets and memory. A process may have a predecessor and successors at once.
 #pragma once
 
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "deadlines/deadlines.h"
+#include "hot_restart/acknowledgement_tracker.h"
+#include "hot_restart/peer_connection.h"
 #include "transport/connection.h"
 
 namespace sloestack::hot_restart {
 
-class Estate {  // what is handed on and shared; kept by the server
+// The state that is handed over and the limits that are shared; implemented by the server.
+class HotRestartHandler {
 public:
-    virtual const std::set<std::string>& banned() const = 0;
-    // Called by the other process; holds from then on.
-    virtual void heard(bool out, const std::string& member) = 0;
-    // How many processes share the limits from now on.
-    virtual void shared_by(int processes) = 0;
-    // Whether this process holds no more than its share.
-    virtual bool fits() const = 0;
-    // Nothing is left to wait for: serve. Told once.
-    virtual void begin() = 0;
+    // The endpoints that operators have excluded, by their names in discovery.
+    virtual const std::set<std::string>& excluded_endpoints() const = 0;
+    // The other process has excluded or included an endpoint; in force here on return.
+    virtual void on_exclusion_update(const std::string& endpoint, bool excluded) = 0;
+    // How many processes, this one included, share the limits from now on.
+    virtual void on_process_count(int processes) = 0;
+    // Whether this process holds no more than its share of the limits.
+    virtual bool is_within_share() const = 0;
+    // The predecessor's state has been received, or there is none to wait for: serve. Called once.
+    virtual void on_handover_complete() = 0;
 
 protected:
-    ~Estate() = default;
+    ~HotRestartHandler() = default;
 };
 
-class Succession {
+class HotRestart final : private PeerEvents {
 public:
-    // `path` is where the processes find each other.
-    Succession(net::Loop& loop, Deadlines& deadlines, std::string path, Estate& estate);
-    ~Succession();
+    // `path` is that of the Unix socket, the same for all processes of one proxy. All references outlive
+    // this.
+    HotRestart(net::Loop& loop, Deadlines& deadlines, std::string path, HotRestartHandler& handler);
+    ~HotRestart();
 
-    // Looks for a predecessor; the estate begins at once where there is none.
+    // Connects to the predecessor; where there is none the handler is told at once that handover is complete.
     void start();
+    // Whether a new process has asked for the handshake and is still connected.
     bool has_successor() const;
-    // Passes a call on; `done` once all others hold it, or do not answer.
-    void tell(bool out, const std::string& member, std::function<void()> done);
+    // Sends the update to all other processes. `done` is called once it is in force at all of them, or those
+    // that do not answer are given up.
+    void send_exclusion_update(const std::string& endpoint, bool excluded, std::function<void()> done);
 
 private:
-    class Tie;
-    struct Told {
-        std::set<const Tie*> missing;
-        std::function<void()> done;
-        Deadline limit;
-    };
+    using Peers = AcknowledgementTracker::Peers;
+    enum class State { awaiting_predecessor, serving };
 
+    void on_message(PeerConnection& peer, const Message& message) override;
+    void on_disconnected(PeerConnection& peer) override;
+    void handle(PeerConnection& peer, const HandshakeRequest& request);
+    void handle(PeerConnection& peer, const HandshakeComplete& complete);
+    void handle(PeerConnection& peer, const ExclusionUpdate& update);
+    void handle(PeerConnection& peer, const Acknowledgement& acknowledgement);
+
+    void start_serving();
     void listen();
-    void begin();
-    void accepted(evutil_socket_t fd);
-    void heard(Tie& tie, const std::string& line);
-    void welcome(Tie& tie);
-    void over(Tie& tie);
-    std::set<const Tie*> pass_on(bool out, const std::string& member, std::uint64_t number, const Tie* from);
-    void held_by(const Tie& tie, std::uint64_t number);
-    void count();
+    // Nothing where the socket cannot be taken over.
+    std::unique_ptr<PeerConnection> open_peer(evutil_socket_t fd, PeerConnection::Role role);
+    void on_accepted(evutil_socket_t fd);
+    void complete_handshake_within_share(PeerConnection& successor);
+    Peers broadcast(const ExclusionUpdate& update, const PeerConnection* except);
+    void report_process_count();
 
     net::Loop& loop_;
     Deadlines& deadlines_;
     std::string path_;
-    Estate& estate_;
-    std::vector<std::unique_ptr<Tie>> ties_;
-    std::map<std::uint64_t, Told> told_;  // not yet held by all
-    std::uint64_t last_ = 0;
-    bool begun_ = false;
-    Deadline patience_;
+    HotRestartHandler& handler_;
+    std::vector<std::unique_ptr<PeerConnection>> peers_;
+    AcknowledgementTracker acknowledgements_;
+    std::uint64_t last_sequence_ = 0;
+    State state_ = State::awaiting_predecessor;
+    Deadline handshake_timeout_;
     std::unique_ptr<net::Listener> listener_;
 };
 
