--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -61,16 +61,17 @@
     return out;
 }
 
-discovery::List known_list(discovery::Reader& lists, const nlohmann::json& known) {
+discovery::EndpointList known_list(discovery::EndpointListParser& lists, const nlohmann::json& known) {
     if (known.is_null()) return {};
     try {
-        return lists.read(known);
+        return lists.parse(known);
     } catch (const std::runtime_error& error) {
         throw config::BadConfig("known", error.what());
     }
 }
 
-std::optional<std::int64_t> known_revision(const config::Config& config, const discovery::List& known) {
+std::optional<std::int64_t> known_revision(const config::Config& config,
+                                           const discovery::EndpointList& known) {
     return config.known.is_null() ? std::nullopt : std::optional(known.revision);
 }
 
@@ -105,9 +106,9 @@
       known_(known_list(lists_, config.known)),
       discovery_(config.discovery_in_file),
       waits_for_list_(!config.settings.router.discovery_is_polled) {
-    watch_ = std::make_unique<discovery::Watch>(
+    watch_ = std::make_unique<discovery::DiscoveryWatch>(
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
-        bans_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
+        exclusions_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
     proxy_.attach({pool_, [this] { watch_->start(); },
                    [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
@@ -129,9 +130,10 @@
 }
 
 // ---- the processes of one proxy ----
-// The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
+// The list comes after the exclusions: nothing is ever sent to a member that a predecessor was told to leave
+// out.
 void Server::on_handover_complete() {
-    bans_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.members));
+    exclusions_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.endpoints));
     begun_ = true;
     proxy_.turn();
     if (!waits_for_list_) client_listener_->open();
@@ -150,25 +152,25 @@
 }
 
 void Server::on_exclusion_update(const std::string& endpoint, bool excluded) {
-    excluded ? bans_.ban(endpoint) : bans_.lift(endpoint);
+    excluded ? exclusions_.exclude(endpoint) : exclusions_.include(endpoint);
 }
 
 // ---- what operators call ----
 std::string Server::figures() const {
     metrics::State now;
     now.active = proxy_.open_requests();
-    now.pool_size = bans_.listed_members();
-    now.pool_ejected = bans_.listed_and_banned() + proxy_.members_avoided();
+    now.pool_size = exclusions_.listed_count();
+    now.pool_ejected = exclusions_.listed_and_excluded_count() + proxy_.members_avoided();
     return numbers_.json(now);
 }
 
 void Server::exclude(const std::string& member, Done done) {
-    bans_.ban(member);
+    exclusions_.exclude(member);
     pass_on(true, member, std::move(done));
 }
 
 void Server::include(const std::string& member, Done done) {
-    bans_.lift(member);
+    exclusions_.include(member);
     pass_on(false, member, std::move(done));
 }
 
@@ -182,7 +184,7 @@
     loop_.run_once(at_most);
     proxy_.turn();
     // What the agent has counts as told from the first moment on, so clients come in behind its first word.
-    if (waits_for_list_ && begun_ && watch_->has_called()) {
+    if (waits_for_list_ && begun_ && watch_->has_completed_poll()) {
         waits_for_list_ = false;
         client_listener_->open();
     }
@@ -211,7 +213,7 @@
     const auto at = config::discovery_address(named);
     discovery_ = named;
     log::line("reloaded", "discovery is at " + named);
-    watch_->move(at, named);
+    watch_->change_address(at, named);
 }
 
 void Server::report() {
@@ -221,7 +223,7 @@
         log::line("table sizes", std::to_string(client_listener_->sessions()) + " clients, " +
                                      std::to_string(pool_.links()) + " links, " +
                                      std::to_string(proxy_.open_requests()) + " requests, " +
-                                     std::to_string(lists_.names()) + " names, " +
+                                     std::to_string(lists_.known_name_count()) + " names, " +
                                      std::to_string(deadlines_.size()) + " deadlines, " +
                                      std::to_string(account_.held()) + " bytes");
     // Where there is no door, the log tells the figures; added up over all proxies they show where requests
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -6,8 +6,8 @@
 #include "admin_server/admin_server.h"
 #include "config/config.h"
 #include "connection_pool/pool.h"
-#include "discovery/list.h"
-#include "discovery/watch.h"
+#include "discovery/discovery_watch.h"
+#include "discovery/endpoint_list_parser.h"
 #include "dispatch_loop/dispatch_loop.h"
 #include "exclusions/exclusions.h"
 #include "hot_restart/hot_restart.h"
@@ -44,13 +44,13 @@
 
     // What operators call
     std::string figures() const override;
-    bool ever_listed(const std::string& member) const override { return lists_.ever_listed(member); }
+    bool ever_listed(const std::string& member) const override { return lists_.was_ever_listed(member); }
     void exclude(const std::string& member, Done done) override;
     void include(const std::string& member, Done done) override;
     void pass_on(bool out, const std::string& member, Done done);
 
     // What the processes of one proxy hand on and share
-    const std::set<std::string>& excluded_endpoints() const override { return bans_.names(); }
+    const std::set<std::string>& excluded_endpoints() const override { return exclusions_.excluded(); }
     void on_exclusion_update(const std::string& endpoint, bool excluded) override;
     void on_process_count(int processes) override;
     bool is_within_share() const override { return !clients_.over() && !members_.over(); }
@@ -65,11 +65,11 @@
     net::Room room_;            // for large statements
     metrics::Numbers numbers_;
     dispatch::Proxy proxy_;
-    exclusions::Bans bans_{proxy_};
+    exclusions::Exclusions exclusions_{proxy_};
     upstream::Pool pool_;
-    discovery::Reader lists_;
-    discovery::List known_;  // until it begins
-    std::unique_ptr<discovery::Watch> watch_;
+    discovery::EndpointListParser lists_;
+    discovery::EndpointList known_;  // until it begins
+    std::unique_ptr<discovery::DiscoveryWatch> watch_;
     std::string discovery_;  // as the file named it last
     bool begun_ = false;
     bool waits_for_list_;  // clients are let in once discovery has been heard, or has failed to answer
--- a/src/fleet/exclusions/exclusions.cpp
+++ b/src/fleet/exclusions/exclusions.cpp
@@ -7,42 +7,43 @@
 
 using decision::EndpointListKind;
 using decision::EndpointState;
+using traffic::ListedEndpoint;
 
-void Bans::on_endpoint_list(EndpointListKind kind, std::vector<traffic::ListedEndpoint> entries) {
-    if (kind == EndpointListKind::complete || kind == EndpointListKind::cached) present_.clear();
-    for (auto& e : entries) {
-        if (e.endpoint.state == EndpointState::removed)
-            present_.erase(e.name);
+void Exclusions::on_endpoint_list(EndpointListKind kind, std::vector<ListedEndpoint> endpoints) {
+    if (kind == EndpointListKind::complete || kind == EndpointListKind::cached) listed_.clear();
+    for (auto& endpoint : endpoints) {
+        if (endpoint.endpoint.state == EndpointState::removed)
+            listed_.erase(endpoint.name);
         else
-            present_[e.name] = e;
-        e = laid_over(std::move(e));
+            listed_[endpoint.name] = endpoint;
+        endpoint = with_exclusion(std::move(endpoint));
     }
-    next_.on_endpoint_list(kind, std::move(entries));
+    next_.on_endpoint_list(kind, std::move(endpoints));
 }
 
-traffic::ListedEndpoint Bans::laid_over(traffic::ListedEndpoint entry) const {
-    if (entry.endpoint.state == EndpointState::ready && is_banned(entry.name))
-        entry.endpoint.state = EndpointState::draining;
-    return entry;
+ListedEndpoint Exclusions::with_exclusion(ListedEndpoint endpoint) const {
+    if (endpoint.endpoint.state == EndpointState::ready && is_excluded(endpoint.name))
+        endpoint.endpoint.state = EndpointState::draining;
+    return endpoint;
 }
 
-void Bans::pass_on(const std::string& name) {
-    const auto present = present_.find(name);
-    if (present != present_.end())
-        next_.on_endpoint_list(EndpointListKind::changes, {laid_over(present->second)});
+void Exclusions::report(const std::string& name) {
+    const auto found = listed_.find(name);
+    if (found == listed_.end()) return;
+    next_.on_endpoint_list(EndpointListKind::changes, {with_exclusion(found->second)});
 }
 
-void Bans::ban(const std::string& name) {
-    if (banned_.insert(name).second) pass_on(name);
+void Exclusions::exclude(const std::string& name) {
+    if (excluded_.insert(name).second) report(name);
 }
 
-void Bans::lift(const std::string& name) {
-    if (banned_.erase(name) > 0) pass_on(name);
+void Exclusions::include(const std::string& name) {
+    if (excluded_.erase(name) > 0) report(name);
 }
 
-std::size_t Bans::listed_and_banned() const {
-    return static_cast<std::size_t>(
-        std::count_if(banned_.begin(), banned_.end(), [this](const auto& n) { return present_.count(n); }));
+std::size_t Exclusions::listed_and_excluded_count() const {
+    const auto is_listed = [this](const std::string& name) { return listed_.count(name) > 0; };
+    return static_cast<std::size_t>(std::count_if(excluded_.begin(), excluded_.end(), is_listed));
 }
 
 }  // namespace sloestack::exclusions
--- a/src/fleet/exclusions/exclusions.h
+++ b/src/fleet/exclusions/exclusions.h
@@ -1,7 +1,8 @@
-// The members that operators have taken out by hand, laid over discovery's list: whoever follows the list
-// reads a banned member as draining, whatever discovery says of it.
+// Endpoints that operators have excluded by hand. Sits between discovery and the listener of its endpoint
+// lists, and reports an excluded endpoint as draining for as long as discovery lists it as ready.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <set>
 #include <string>
@@ -11,29 +12,33 @@
 
 namespace sloestack::exclusions {
 
-class Bans final : public traffic::EndpointListListener {
+class Exclusions final : public traffic::EndpointListListener {
 public:
-    explicit Bans(traffic::EndpointListListener& next) : next_(next) {}
+    // `next` is given the lists with the exclusions applied; it outlives this.
+    explicit Exclusions(traffic::EndpointListListener& next) : next_(next) {}
 
     void on_endpoint_list(decision::EndpointListKind kind,
-                          std::vector<traffic::ListedEndpoint> entries) override;
+                          std::vector<traffic::ListedEndpoint> endpoints) override;
     void on_poll_failed(const decision::FailedPoll& poll) override { next_.on_poll_failed(poll); }
-    void ban(const std::string& name);
-    // One call back ends the ban; what discovery says now, a restart included, is passed on with it.
-    void lift(const std::string& name);
-    bool is_banned(const std::string& name) const { return banned_.count(name) > 0; }
 
-    const std::set<std::string>& names() const { return banned_; }
-    std::size_t listed_members() const { return present_.size(); }
-    std::size_t listed_and_banned() const;
+    // Both take an endpoint's name in discovery, listed or not, and report the change of a listed one at
+    // once. A call that changes nothing is ignored.
+    void exclude(const std::string& name);
+    // The endpoint is reported as discovery lists it now, its start time included.
+    void include(const std::string& name);
+
+    bool is_excluded(const std::string& name) const { return excluded_.count(name) > 0; }
+    const std::set<std::string>& excluded() const { return excluded_; }
+    std::size_t listed_count() const { return listed_.size(); }
+    std::size_t listed_and_excluded_count() const;
 
 private:
-    traffic::ListedEndpoint laid_over(traffic::ListedEndpoint entry) const;
-    void pass_on(const std::string& name);
+    traffic::ListedEndpoint with_exclusion(traffic::ListedEndpoint endpoint) const;
+    void report(const std::string& name);
 
     traffic::EndpointListListener& next_;
-    std::set<std::string> banned_;
-    std::map<std::string, traffic::ListedEndpoint> present_;  // discovery's word, of those it lists
+    std::set<std::string> excluded_;
+    std::map<std::string, traffic::ListedEndpoint> listed_;  // by name, without exclusions applied
 };
 
 }  // namespace sloestack::exclusions
--- a/tests/fleet/exclusions_test.cpp
+++ b/tests/fleet/exclusions_test.cpp
@@ -36,24 +36,25 @@
         return e;
     };
     Follower follower;
-    exclusions::Bans bans(follower);
-    // Banned before it is listed at all, as after an upgrade: what is known from the start is laid over too.
-    bans.ban("a");
-    bans.on_endpoint_list(EndpointListKind::cached,
-                          {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
+    exclusions::Exclusions exclusions(follower);
+    // Excluded before it is listed at all, as after an upgrade: what is known from the start is laid over
+    // too.
+    exclusions.exclude("a");
+    exclusions.on_endpoint_list(EndpointListKind::cached,
+                                {entry("a", EndpointState::ready), entry("b", EndpointState::ready)});
     ASSERT_TRUE(follower.of("a") == EndpointState::draining && follower.of("b") == EndpointState::ready);
-    ASSERT_TRUE(bans.listed_members() == 2 && bans.listed_and_banned() == 1);
-    bans.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::removed)});
-    ASSERT_TRUE(follower.of("a") == EndpointState::removed && bans.listed_and_banned() == 0);
-    bans.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
+    ASSERT_TRUE(exclusions.listed_count() == 2 && exclusions.listed_and_excluded_count() == 1);
+    exclusions.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::removed)});
+    ASSERT_TRUE(follower.of("a") == EndpointState::removed && exclusions.listed_and_excluded_count() == 0);
+    exclusions.on_endpoint_list(EndpointListKind::changes, {entry("a", EndpointState::ready, 77)});
     ASSERT_TRUE(follower.of("a") == EndpointState::draining);
     // Discovery's present word comes with the call back, the cold start included.
-    bans.lift("a");
+    exclusions.include("a");
     ASSERT_TRUE(follower.of("a") == EndpointState::ready && follower.now.at("a").endpoint.started_at == 77);
-    bans.ban("b");
-    bans.on_endpoint_list(EndpointListKind::complete,
-                          {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
-    bans.lift("b");
+    exclusions.exclude("b");
+    exclusions.on_endpoint_list(EndpointListKind::complete,
+                                {entry("a", EndpointState::ready), entry("b", EndpointState::draining)});
+    exclusions.include("b");
     ASSERT_TRUE(follower.of("b") == EndpointState::draining);
 }
 
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -1,10 +1,9 @@
 // The watch on the list over loopback sockets, on the test's own clock: whatever calls meet, a change is
 // known within the operators' six seconds, and nothing is believed of an answer that is not whole.
-#include "discovery/watch.h"
-
 #include <optional>
 #include <vector>
 
+#include "discovery/discovery_watch.h"
 #include "discovery_poll_schedule.h"
 #include "loopback.h"
 
@@ -123,7 +122,7 @@
     std::optional<sloestack::decision::EndpointState> state;  // of the one member, as told last
     Time told_at = 0;
     Listening discovery_;
-    discovery::Watch& watch() { return watch_; }
+    discovery::DiscoveryWatch& watch() { return watch_; }
 
 private:
     std::string take_call() {
@@ -142,8 +141,8 @@
     net::Loop loop_;
     Deadlines deadlines_{clock};
     PollBackoff calls_;
-    discovery::Reader lists_{{"a"}};
-    discovery::Watch watch_;
+    discovery::EndpointListParser lists_{{"a"}};
+    discovery::DiscoveryWatch watch_;
     Deadline again_;
     loopback::Peer* asking_ = nullptr;
 };
@@ -238,7 +237,7 @@
     Listening other;
     auto& old = w.discovery_.peers.back();
     old.send(whole(list(8, "terminated")));  // with the kernel before the move, in either order to it
-    w.watch().move(loopback::address(other.port), "other");
+    w.watch().change_address(loopback::address(other.port), "other");
     ASSERT_TRUE(
         w.until([&] { return other.look(), !other.peers.empty() && !other.peers.front().in.empty(); }));
     EXPECT_EQ(other.peers.front().in.find("GET /registry/instances HTTP"), 0u) << "the whole list";
@@ -264,7 +263,7 @@
         other.peers.front().send(whole(said));
         return w.until([&] { return other.look(), other.peers.front().in.find(next) != std::string::npos; });
     };
-    w.watch().move(loopback::address(other.port), "other");
+    w.watch().change_address(loopback::address(other.port), "other");
     ASSERT_TRUE(
         w.until([&] { return other.look(), !other.peers.empty() && !other.peers.front().in.empty(); }));
     ASSERT_TRUE(tell(list(2, "in_service"), "after=2&"));
@@ -278,9 +277,9 @@
     World w(3);
     bring_to_a_held_call(w);
     Listening second, third;
-    w.watch().move(loopback::address(second.port), "second");
+    w.watch().change_address(loopback::address(second.port), "second");
     w.turn();
-    w.watch().move(loopback::address(third.port), "third");
+    w.watch().change_address(loopback::address(third.port), "third");
     ASSERT_TRUE(
         w.until([&] { return third.look(), !third.peers.empty() && !third.peers.front().in.empty(); }));
     third.peers.front().send(whole(list(1, "terminating")));
