--- /dev/null
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -0,0 +1,89 @@
+#include "admin_server/admin_connection.h"
+
+#include "admin_server/admin_json.h"
+
+namespace sloestack::admin {
+namespace {
+
+constexpr std::size_t kMaxUnreadBytes = std::size_t{16} * 1024;
+constexpr Micros kConnectionTimeout = 900'000;  // accepted to the last byte: callers wait 1 s
+
+const char* reason_phrase(int status) {
+    switch (status) {
+        case 200:
+            return "OK";
+        case 400:
+            return "Bad Request";
+        case 404:
+            return "Not Found";
+        case 405:
+            return "Method Not Allowed";
+        case 408:
+            return "Request Timeout";
+        default:
+            return "Service Unavailable";
+    }
+}
+
+std::string encode(const Response& response) {
+    std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status);
+    head += "\r\nContent-Type: application/json";
+    head += "\r\nContent-Length: " + std::to_string(response.body.size());
+    head += "\r\nConnection: close\r\n";
+    if (response.allowed_method) head += std::string("Allow: ") + response.allowed_method + "\r\n";
+    return head + "\r\n" + response.body;
+}
+
+}  // namespace
+
+AdminConnection::AdminConnection(net::Loop& loop, Deadlines& deadlines, evutil_socket_t fd, ConnectionId id,
+                                 AdminConnectionEvents& events)
+    : deadlines_(deadlines), id_(id), events_(events) {
+    connection_ = net::Connection::accepted(loop, fd, kMaxUnreadBytes, *this);
+    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeout, [this] { on_timeout(); });
+}
+
+void AdminConnection::respond(const Response& response) {
+    if (state_ == State::responded) return;
+    state_ = State::responded;
+    connection_->write(encode(response));
+}
+
+void AdminConnection::received() {
+    if (state_ == State::reading_request) return read_request();
+    connection_->consume(connection_->held());
+}
+
+void AdminConnection::read_request() {
+    try {
+        request_.feed(connection_->unread());
+        connection_->consume(connection_->held());
+        if (!request_.done()) return;
+        state_ = State::awaiting_response;
+        events_.on_request(id_, request_);
+    } catch (const http::BadRequest& error) {
+        respond({400, error_json(error.what())});
+        connection_->consume(connection_->held());
+    }
+}
+
+// The client reads the response before the socket closes: to close with input unread could discard it.
+void AdminConnection::drained() {
+    if (state_ != State::responded) return;
+    if (input_ended_) return finish();
+    connection_->end_writing();
+}
+
+void AdminConnection::ended(net::Ending how) {
+    input_ended_ = true;
+    const bool is_response_sent = state_ == State::responded && connection_->unwritten() == 0;
+    if (how == net::Ending::broken || !request_.done() || is_response_sent) finish();
+}
+
+void AdminConnection::on_timeout() {
+    if (state_ == State::responded) return finish();
+    respond({408, error_json("no whole call in time")});
+    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeout, [this] { finish(); });
+}
+
+}  // namespace sloestack::admin
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -117,8 +117,8 @@
         config.settings.class_names, overlapping(config.settings.router),
         sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
-        control_ = std::make_unique<admin::Door>(loop_, deadlines_, *config.control,
-                                                 static_cast<admin::Operated&>(*this));
+        admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.control,
+                                                             static_cast<admin::AdminHandler&>(*this));
     if (config.passed_socket && !config.scratch.empty()) {
         hot_restart_ = std::make_unique<hot_restart::HotRestart>(
             loop_, deadlines_, hot_restart_path(config), static_cast<hot_restart::HotRestartHandler&>(*this));
@@ -156,7 +156,7 @@
 }
 
 // ---- what operators call ----
-std::string Server::figures() const {
+std::string Server::metrics_json() const {
     metrics::State now;
     now.active = proxy_.open_requests();
     now.pool_size = exclusions_.listed_count();
@@ -230,7 +230,7 @@
     // go.
     if (numbers_.counted() != told_) {
         told_ = numbers_.counted();
-        log::line("metrics", figures());
+        log::line("metrics", metrics_json());
     }
     report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
 }
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -18,7 +18,7 @@
 
 namespace sloestack::server {
 
-class Server final : private admin::Operated, private hot_restart::HotRestartHandler {
+class Server final : private admin::AdminHandler, private hot_restart::HotRestartHandler {
 public:
     // Throws config::BadConfig, or std::runtime_error where the address cannot be listened on. The clock
     // outlives it.
@@ -35,7 +35,7 @@
         return proxy_.has_ready_endpoints() && client_listener_ && client_listener_->accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
-    std::uint16_t control_port() const { return control_->port(); }  // where there is such a door
+    std::uint16_t control_port() const { return admin_server_->port(); }  // where there is such a door
 
 private:
     static const Clock& system_clock();
@@ -43,8 +43,10 @@
     void report();
 
     // What operators call
-    std::string figures() const override;
-    bool ever_listed(const std::string& member) const override { return lists_.was_ever_listed(member); }
+    std::string metrics_json() const override;
+    bool was_ever_listed(const std::string& endpoint) const override {
+        return lists_.was_ever_listed(endpoint);
+    }
     void exclude(const std::string& member, Done done) override;
     void include(const std::string& member, Done done) override;
     void pass_on(bool out, const std::string& member, Done done);
@@ -74,7 +76,7 @@
     bool begun_ = false;
     bool waits_for_list_;  // clients are let in once discovery has been heard, or has failed to answer
     std::unique_ptr<downstream::ClientListener> client_listener_;
-    std::unique_ptr<admin::Door> control_;
+    std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<hot_restart::HotRestart> hot_restart_;
     Deadline report_;
     std::uint64_t told_ = 0;  // how much had been counted when the log last told the figures
