--- a/tests/decision/discovery_poll_schedule_test.cpp
+++ b/tests/decision/discovery_poll_schedule_test.cpp
@@ -51,7 +51,8 @@
     for (int i = 0; i < 20; ++i) most = std::max(most, c.delay_after_failure(fate, kHighest));
     // One that has been out for longer than any queue lets it wait was held: it had told of all before its
     // end.
-    return most + std::min(PollBackoff::kPollTimeoutUs, fate.duration_us.value_or(PollBackoff::kPollTimeoutUs));
+    return most +
+           std::min(PollBackoff::kPollTimeoutUs, fate.duration_us.value_or(PollBackoff::kPollTimeoutUs));
 }
 
 // One whose held call has been answered; its next call is held.
@@ -78,7 +79,8 @@
                 << routers;
             auto refused = watching(s);
             refused.on_rejection(false);
-            EXPECT_LT(refused.next().timeout_us + behind_silence, PollBackoff::kNotificationBoundUs) << routers;
+            EXPECT_LT(refused.next().timeout_us + behind_silence, PollBackoff::kNotificationBoundUs)
+                << routers;
             if (routers > 166 && !s.discovery_agent_is_local) continue;
             for (const auto& fate : {kFates[0], kFates[3], FailedPoll{false, behind_silence}}) {
                 auto after = t;
--- a/tests/decision/endpoint_registry_test.cpp
+++ b/tests/decision/endpoint_registry_test.cpp
@@ -34,5 +34,27 @@
     }
 }
 
+// It drained first, so it is forgotten in the end, though removal alone would not have bound the router.
+TEST(EndpointRegistry, AForgottenPrimaryIsNoPrimaryWhereRemovalIsAdvisory) {
+    auto settings = default_settings();
+    settings.removal_is_advisory = true;
+    settings.health_checks_allowed = true;
+    settings.health_checks_report_status = true;
+    RouterFixture fixture(settings);
+    fixture.establish_primary(2);
+    fixture.endpoint_list(EndpointListKind::changes, {make_entry(2, EndpointState::draining)});
+    fixture.step(1000);
+    fixture.endpoint_list(EndpointListKind::changes, {make_entry(2, EndpointState::removed)});
+    fixture.step(1000);
+    fixture.fire_timer(61'000'000);
+    fixture.fire_timer();
+    fixture.arrive(1, kWrite);
+    fixture.step(1000);
+    EXPECT_NE(fixture.forwarded_to(1), std::optional<EndpointId>(2));
+    fixture.health_check_ended(3, Role::primary, fixture.now);
+    fixture.step(1000);
+    EXPECT_TRUE(fixture.logged("primary found: endpoint 3"));
+}
+
 }  // namespace
 }  // namespace sloestack::decision::test
