--- a/src/admin/admin_server/admin_connection.h
+++ b/src/admin/admin_server/admin_connection.h
@@ -19,7 +19,7 @@
     const char* allowed_method = nullptr;  // for the Allow header, where there is one
 };
 
-// Told what happens on a connection; kept by the owner of the connections.
+// Callbacks of a connection, implemented by the owner of the connections.
 class AdminConnectionEvents {
 public:
     // The request is whole. It may be responded to later. Throws http::BadRequest where it cannot be used.
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -95,7 +95,7 @@
     listener_.on_endpoint_list(
         list.complete ? decision::EndpointListKind::complete : decision::EndpointListKind::changes,
         std::move(list.endpoints));
-    poll();  // at once: a gap between polls is time in which no change is told
+    poll();  // at once: no change is notified between polls
 }
 
 void DiscoveryWatch::ended(net::Ending how) {
--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -25,7 +25,7 @@
                    EndpointListParser& parser, std::optional<std::int64_t> revision,
                    traffic::EndpointListListener& listener, const decision::PollTimeouts& timeouts);
 
-    // Begins to poll where it does not. A failure stops it, and the listener is told.
+    // Begins to poll where it does not. A failure stops it and is reported to the listener.
     void start();
     // Discovery is at another address from now on. The complete list is asked for at once: the revision held
     // means nothing there.
--- a/src/state/hot_restart/hot_restart.h
+++ b/src/state/hot_restart/hot_restart.h
@@ -43,7 +43,7 @@
     HotRestart(net::Loop& loop, Deadlines& deadlines, std::string path, HotRestartHandler& handler);
     ~HotRestart();
 
-    // Connects to the predecessor; where there is none the handler is told at once that handover is complete.
+    // Connects to the predecessor; where there is none handover is complete at once.
     void start();
     // Whether a new process has asked for the handshake and is still connected.
     bool has_successor() const;
--- a/src/state/hot_restart/peer_connection.h
+++ b/src/state/hot_restart/peer_connection.h
@@ -12,7 +12,7 @@
 
 class PeerConnection;
 
-// Told what happens on a connection; kept by the owner of the connections.
+// Callbacks of a connection, implemented by the owner of the connections.
 class PeerEvents {
 public:
     virtual void on_message(PeerConnection& peer, const Message& message) = 0;
