--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -111,8 +111,7 @@
     not_eligible
 };
 constexpr std::size_t kOutcomeCount = static_cast<std::size_t>(Outcome::not_eligible) + 1;
-const char* metric_name(Outcome outcome);  // as operators read it
-struct ReplicationStatus {                 // what an answer or report says of a server
+struct ReplicationStatus {  // what an answer or report says of a server
     Role role = Role::unknown;
     std::optional<Time> position;  // all commits up to this time are applied
 };
@@ -177,7 +176,6 @@
     repeated_error,          // a second member answered with an error
 };
 constexpr std::size_t kRejectionReasonCount = static_cast<std::size_t>(RejectionReason::repeated_error) + 1;
-const char* metric_name(RejectionReason reason);  // as operators read it
 
 struct Reject {
     RequestId request = 0;
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -153,11 +153,11 @@
 
 // ---- what operators call ----
 std::string Server::figures() const {
-    metrics::State now;
-    now.active = dispatch_loop_.open_request_count();
-    now.pool_size = bans_.listed_members();
-    now.pool_ejected = bans_.listed_and_banned() + dispatch_loop_.ejected_endpoint_count();
-    return numbers_.json(now);
+    metrics::Gauges now;
+    now.open_requests = dispatch_loop_.open_request_count();
+    now.listed_endpoints = bans_.listed_members();
+    now.avoided_endpoints = bans_.listed_and_banned() + dispatch_loop_.ejected_endpoint_count();
+    return numbers_.to_json(now);
 }
 
 void Server::exclude(const std::string& member, Done done) {
@@ -224,8 +224,8 @@
                                      std::to_string(account_.held()) + " bytes");
     // Where there is no door, the log tells the figures; added up over all proxies they show where requests
     // go.
-    if (numbers_.counted() != told_) {
-        told_ = numbers_.counted();
+    if (numbers_.total() != told_) {
+        told_ = numbers_.total();
         log::line("metrics", figures());
     }
     report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -63,7 +63,7 @@
     net::Quota clients_, overflow_, lingering_, members_;
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
     net::Room room_;            // for large statements
-    metrics::Numbers numbers_;
+    metrics::RequestMetrics numbers_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Bans bans_{dispatch_loop_};
     upstream::Pool pool_;
--- a/src/base/metrics/metrics.cpp
+++ b/src/base/metrics/metrics.cpp
@@ -3,63 +3,76 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "metrics/metric_names.h"
+
 namespace sloestack::metrics {
 namespace {
 
-// Every name from the start: a reader need not know which may come later.
-template <class What, std::size_t N>
-nlohmann::json by_name(const std::array<std::uint64_t, N>& counts) {
+template <class Enum>
+constexpr std::size_t index_of(Enum value) {
+    return static_cast<std::size_t>(value);
+}
+
+template <class Enum, std::size_t kCount>
+nlohmann::json counts_by_name(const std::array<std::uint64_t, kCount>& counts) {
     auto out = nlohmann::json::object();
-    for (std::size_t i = 0; i < N; ++i) out[decision::metric_name(static_cast<What>(i))] = counts[i];
+    for (std::size_t i = 0; i < kCount; ++i) out[metric_name(static_cast<Enum>(i))] = counts[i];
     return out;
 }
 
 }  // namespace
 
-Numbers::Numbers(std::vector<std::string> class_names) {
+RequestMetrics::RequestMetrics(std::vector<std::string> class_names) {
     for (auto& name : class_names) classes_.emplace_back().name = std::move(name);
 }
 
-Numbers::Class* Numbers::find(int request_class) {
-    const auto at = static_cast<std::size_t>(request_class);
-    return request_class >= 0 && at < classes_.size() ? &classes_[at] : nullptr;
+RequestMetrics::ClassCounters* RequestMetrics::find(int request_class) {
+    const auto index = static_cast<std::size_t>(request_class);
+    return request_class >= 0 && index < classes_.size() ? &classes_[index] : nullptr;
+}
+
+void RequestMetrics::raise(std::uint64_t& counter) {
+    ++counter;
+    ++total_;
 }
 
-void Numbers::answered(int request_class, What what) {
-    if (auto* c = find(request_class)) count(c->answers[what]);
+void RequestMetrics::count_response(int request_class, ResponseKind kind) {
+    if (auto* counters = find(request_class)) raise(counters->responses[index_of(kind)]);
 }
 
-void Numbers::tried(int request_class) {
-    if (auto* c = find(request_class)) count(c->tries);
+void RequestMetrics::count_attempt_sent(int request_class) {
+    if (auto* counters = find(request_class)) raise(counters->attempts_sent);
 }
 
-void Numbers::given_up(int request_class, decision::RejectionReason cause) {
-    if (auto* c = find(request_class)) count(c->causes[static_cast<std::size_t>(cause)]);
+void RequestMetrics::count_unserved(int request_class, decision::RejectionReason reason) {
+    if (auto* counters = find(request_class)) raise(counters->reasons[index_of(reason)]);
 }
 
-void Numbers::ended(int request_class, decision::Outcome outcome) {
-    if (auto* c = find(request_class)) count(c->outcomes[static_cast<std::size_t>(outcome)]);
+void RequestMetrics::count_attempt_ended(int request_class, decision::Outcome outcome) {
+    if (auto* counters = find(request_class)) raise(counters->outcomes[index_of(outcome)]);
 }
 
-std::string Numbers::json(const State& state) const {
-    auto responses = nlohmann::json::object(), reasons = responses, results = responses;
-    std::uint64_t tries = 0;
-    for (const auto& c : classes_) {
-        responses[c.name] = {{"ok", c.answers[ok]},
-                             {"shed", c.answers[shed]},
-                             {"errors", c.answers[errors]},
-                             {"tries", c.tries}};
-        tries += c.tries;
-        reasons[c.name] = by_name<decision::RejectionReason>(c.causes);
-        results[c.name] = by_name<decision::Outcome>(c.outcomes);
+std::string RequestMetrics::to_json(const Gauges& gauges) const {
+    auto responses = nlohmann::json::object();
+    auto reasons = nlohmann::json::object();
+    auto results = nlohmann::json::object();
+    std::uint64_t attempts_sent = 0;
+    for (const auto& counters : classes_) {
+        responses[counters.name] = {{"ok", counters.responses[index_of(ResponseKind::served)]},
+                                    {"shed", counters.responses[index_of(ResponseKind::rejected)]},
+                                    {"errors", counters.responses[index_of(ResponseKind::failed)]},
+                                    {"tries", counters.attempts_sent}};
+        attempts_sent += counters.attempts_sent;
+        reasons[counters.name] = counts_by_name<decision::RejectionReason>(counters.reasons);
+        results[counters.name] = counts_by_name<decision::Outcome>(counters.outcomes);
     }
     return nlohmann::json{{"responses", responses},
                           {"reasons", reasons},
                           {"results", results},
-                          {"tries", tries},
-                          {"active", state.active},
-                          {"pool_size", state.pool_size},
-                          {"pool_ejected", state.pool_ejected}}
+                          {"tries", attempts_sent},
+                          {"active", gauges.open_requests},
+                          {"pool_size", gauges.listed_endpoints},
+                          {"pool_ejected", gauges.avoided_endpoints}}
         .dump();
 }
 
--- a/src/base/metrics/metrics.h
+++ b/src/base/metrics/metrics.h
@@ -1,9 +1,10 @@
-// The figures that operators read. Counted once each, where the thing happens: answers where the client gets
-// them, tries where an attempt's last byte has been written, causes where the decision module gives a request
-// up, and outcomes where an attempt ends.
+// The metrics that operators read as JSON. Each counter has one place where it is raised: responses where the
+// client gets them, attempts where their last byte has been written, reasons where the decision module
+// rejects or fails a request, and outcomes where an attempt ends.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -12,38 +13,45 @@
 
 namespace sloestack::metrics {
 
-// What is so now and is not counted up.
-struct State {
-    std::size_t active = 0;        // requests taken and not ended
-    std::size_t pool_size = 0;     // members in the list
-    std::size_t pool_ejected = 0;  // of them, those avoided by hand or by choice
+// How a request ended for its client.
+enum class ResponseKind { served, rejected, failed };
+constexpr std::size_t kResponseKindCount = static_cast<std::size_t>(ResponseKind::failed) + 1;
+
+// What is measured at the moment of the read rather than counted.
+struct Gauges {
+    std::size_t open_requests = 0;
+    std::size_t listed_endpoints = 0;
+    std::size_t avoided_endpoints = 0;  // of those listed: excluded by an operator or ejected by the router
 };
 
-class Numbers {
+class RequestMetrics {
 public:
-    enum What { ok, shed, errors };
+    explicit RequestMetrics(std::vector<std::string> class_names);
 
-    explicit Numbers(std::vector<std::string> class_names);
+    // `request_class` is an index into the class names; an unknown one (-1) is not counted.
+    void count_response(int request_class, ResponseKind kind);
+    void count_attempt_sent(int request_class);
+    void count_unserved(int request_class, decision::RejectionReason reason);
+    void count_attempt_ended(int request_class, decision::Outcome outcome);
 
-    // A class is its place among the names; one that is unknown (-1) is not counted.
-    void answered(int request_class, What what);
-    void tried(int request_class);
-    void given_up(int request_class, decision::RejectionReason cause);
-    void ended(int request_class, decision::Outcome outcome);
-    std::uint64_t counted() const { return counted_; }  // all of these together
-    std::string json(const State& state) const;
+    // The sum of all counters, by which a reader sees whether anything has changed.
+    std::uint64_t total() const { return total_; }
+    // Every name is there from the start, its count 0 until it is raised.
+    std::string to_json(const Gauges& gauges) const;
 
 private:
-    struct Class {
+    struct ClassCounters {
         std::string name;
-        std::uint64_t answers[3] = {}, tries = 0;
-        std::array<std::uint64_t, decision::kRejectionReasonCount> causes = {};
+        std::array<std::uint64_t, kResponseKindCount> responses = {};
+        std::uint64_t attempts_sent = 0;
+        std::array<std::uint64_t, decision::kRejectionReasonCount> reasons = {};
         std::array<std::uint64_t, decision::kOutcomeCount> outcomes = {};
     };
-    Class* find(int request_class);
-    void count(std::uint64_t& what) { ++what, ++counted_; }
-    std::vector<Class> classes_;
-    std::uint64_t counted_ = 0;
+    ClassCounters* find(int request_class);
+    void raise(std::uint64_t& counter);
+
+    std::vector<ClassCounters> classes_;
+    std::uint64_t total_ = 0;
 };
 
 }  // namespace sloestack::metrics
--- a/src/core/dispatch_loop/actions.cpp
+++ b/src/core/dispatch_loop/actions.cpp
@@ -37,7 +37,7 @@
 
 traffic::ResponseSink* DispatchLoop::close_unserved(traffic::RequestId id, decision::RejectionReason reason) {
     auto* sink = requests_.close(id);
-    if (sink) metrics_.given_up(requests_.find(id)->request_class, reason);
+    if (sink) metrics_.count_unserved(requests_.find(id)->request_class, reason);
     return sink;
 }
 
--- a/src/core/dispatch_loop/dispatch_loop.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::dispatch {
 
 DispatchLoop::DispatchLoop(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
-                           metrics::Numbers& metrics)
+                           metrics::RequestMetrics& metrics)
     : deadlines_(deadlines), metrics_(metrics), router_(settings, seed) {}
 
 void DispatchLoop::set_targets(ActionTargets targets) { targets_.emplace(std::move(targets)); }
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -39,7 +39,7 @@
     // `deadlines` and `metrics` are not owned and outlive the loop. Throws std::invalid_argument naming the
     // setting that cannot be run.
     DispatchLoop(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
-                 metrics::Numbers& metrics);
+                 metrics::RequestMetrics& metrics);
 
     // Must be called before the first event; the targets need the loop to be constructed.
     void set_targets(ActionTargets targets);
@@ -88,7 +88,7 @@
     traffic::ResponseSink* close_unserved(traffic::RequestId id, decision::RejectionReason reason);
 
     Deadlines& deadlines_;
-    metrics::Numbers& metrics_;
+    metrics::RequestMetrics& metrics_;
     decision::Router router_;
     std::optional<ActionTargets> targets_;
     std::vector<decision::Event> queued_events_;
--- a/src/core/dispatch_loop/inputs.cpp
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -66,7 +66,7 @@
     SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
     const auto* request = requests_.find(end.request);
     if (request) {
-        metrics_.ended(request->request_class, end.outcome);
+        metrics_.count_attempt_ended(request->request_class, end.outcome);
         // The first answer goes to the client as it is and ends the request, without asking the module.
         const bool is_response =
             request->streaming_attempt ? *request->streaming_attempt == end.attempt : value.has_value();
--- a/src/decision/interface.cpp
+++ b/src/decision/interface.cpp
@@ -1,4 +1,4 @@
-// What of the interface is no decision: whether settings can be run, and names as operators read them.
+// Whether settings can be run.
 // Interface: include/sloestack/router.h
 #include <stdexcept>
 
@@ -23,17 +23,4 @@
     want(s.slow_start_min_capacity_ratio > 0 && s.slow_start_min_capacity_ratio <= 1, "cold-share");
 }
 
-const char* metric_name(Outcome outcome) {
-    static constexpr const char* kNames[kOutcomeCount] = {
-        "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"};
-    return kNames[static_cast<std::size_t>(outcome)];
-}
-const char* metric_name(RejectionReason reason) {
-    static constexpr const char* kNames[kRejectionReasonCount] = {
-        "unknown_class",  "throttled",    "not_admitted", "no_primary",     "no_member",
-        "avoided",        "cold",         "no_room",      "not_new_enough", "out_of_time",
-        "may_not_repeat", "retry_budget", "failing"};
-    return kNames[static_cast<std::size_t>(reason)];
-}
-
 }  // namespace sloestack::decision
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 ClientListener::ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas,
-                               net::ByteAccount& account, net::Room& room, metrics::Numbers& numbers,
+                               net::ByteAccount& account, net::Room& room, metrics::RequestMetrics& numbers,
                                const Entrance& at, traffic::RequestDispatcher& dispatcher,
                                std::vector<std::string> class_names, std::vector<bool> class_overlaps,
                                bool sessions_named, Micros longest_wait, std::uint64_t seed)
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -27,7 +27,7 @@
     };
     // `class_overlaps` has a word for each of `class_names`. `seed` is for the keys that clients cancel by.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
-                   net::Room& room, metrics::Numbers& numbers, const Entrance& at,
+                   net::Room& room, metrics::RequestMetrics& numbers, const Entrance& at,
                    traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
                    std::vector<bool> class_overlaps, bool sessions_named, Micros longest_wait,
                    std::uint64_t seed);
--- a/src/downstream/sessions/session.cpp
+++ b/src/downstream/sessions/session.cpp
@@ -352,7 +352,7 @@
                              "unknown class " + std::string(tags.request_class));
         q->request_class = static_cast<int>(request_class - names.begin());
         if (!office_.dispatcher.knows_replica_group(tags.cluster)) {
-            office_.numbers.answered(q->request_class, metrics::Numbers::shed);
+            office_.numbers.count_response(q->request_class, metrics::ResponseKind::rejected);
             Builder(out)
                 .error("ERROR", pgwire::code::kCannotConnectNow, "no member of this cluster is known",
                        milliseconds(kBusyAdvice))
@@ -369,7 +369,7 @@
         const Time now = office_.deadlines.now();
         a.deadline = asked_at_ + tags.left_ms * 1000;
         if (a.deadline <= now) {
-            office_.numbers.given_up(q->request_class, decision::RejectionReason::deadline_exceeded);
+            office_.numbers.count_unserved(q->request_class, decision::RejectionReason::deadline_exceeded);
             return refuse(q->request_class, 0);
         }
         a.is_retry = tags.repeat;
@@ -378,7 +378,7 @@
             a.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * 1000);
         // Two requests of one name cannot be told apart by a member that drops repeats.
         if (!office_.open_ids.emplace(tags.id).second) {
-            office_.numbers.answered(q->request_class, metrics::Numbers::errors);
+            office_.numbers.count_response(q->request_class, metrics::ResponseKind::failed);
             return say_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
         }
         q->id = tags.id;
@@ -480,7 +480,7 @@
     if (queries_.empty() || passes_on() || state_ != State::open) return;
     auto& first = *queries_.front();
     withdraw(first);
-    office_.numbers.answered(first.request_class, metrics::Numbers::errors);
+    office_.numbers.count_response(first.request_class, metrics::ResponseKind::failed);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kQueryCanceled, "canceled at the client's request").ready();
     answered(first, std::move(out));
@@ -531,7 +531,7 @@
         auto bytes = take_kept(*q);
         if (q->request) {
             withdraw(*q);
-            office_.numbers.answered(q->request_class, metrics::Numbers::errors);
+            office_.numbers.count_response(q->request_class, metrics::ResponseKind::failed);
             bytes.clear();
             Builder(bytes).error("ERROR", pgwire::code::kAdminShutdown, "the proxy is stopping").ready();
         }
@@ -607,7 +607,7 @@
 }
 
 void Session::served(Query& query, const traffic::ResultValue& value) {
-    office_.numbers.answered(query.request_class, metrics::Numbers::ok);
+    office_.numbers.count_response(query.request_class, metrics::ResponseKind::served);
     std::string out;
     out.reserve(value.bytes.size() + 128);
     const auto row = value.is_null ? std::nullopt : std::optional<std::string_view>(value.bytes);
@@ -641,7 +641,7 @@
 }
 
 void Session::finished(Query& query, const std::string& tag) {
-    office_.numbers.answered(query.request_class, metrics::Numbers::ok);
+    office_.numbers.count_response(query.request_class, metrics::ResponseKind::served);
     std::string out;
     Builder(out).complete(tag).ready();
     answered(query, std::move(out));
@@ -653,24 +653,24 @@
         take_kept(query);
         return failed(query);
     }
-    office_.numbers.answered(query.request_class, metrics::Numbers::errors);
+    office_.numbers.count_response(query.request_class, metrics::ResponseKind::failed);
     let_go(query);
     finish();
 }
 
 void Session::refused(Query& query, Micros retry_after) {
-    office_.numbers.answered(query.request_class, metrics::Numbers::shed);
+    office_.numbers.count_response(query.request_class, metrics::ResponseKind::rejected);
     answered(query, refusal(retry_after));
 }
 
 void Session::refuse(int request_class, Micros retry_after) {
-    office_.numbers.answered(request_class, metrics::Numbers::shed);
+    office_.numbers.count_response(request_class, metrics::ResponseKind::rejected);
     reply(refusal(retry_after));
     if (!queries_.empty()) queries_.back()->request_class = request_class;
 }
 
 void Session::failed(Query& query) {
-    office_.numbers.answered(query.request_class, metrics::Numbers::errors);
+    office_.numbers.count_response(query.request_class, metrics::ResponseKind::failed);
     std::string out;
     Builder(out).error("ERROR", pgwire::code::kSystemError, "no member has answered in time").ready();
     answered(query, std::move(out));
--- a/src/downstream/sessions/session.h
+++ b/src/downstream/sessions/session.h
@@ -52,7 +52,7 @@
     net::Room& room;  // for statements too large to be gathered in passing
     const net::Quota& quota;
     net::Quota& lingering;  // of connections that have ended on this side
-    metrics::Numbers& numbers;
+    metrics::RequestMetrics& numbers;
     std::vector<std::string> class_names;
     std::vector<bool> class_overlaps;  // a read, safe to repeat: may run beside other such of its connection
     bool sessions_named = false;       // some class reads what its session has written
--- a/src/upstream/connection_pool/pool.cpp
+++ b/src/upstream/connection_pool/pool.cpp
@@ -45,7 +45,7 @@
 };
 
 Pool::Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-           traffic::AttemptListener& results, metrics::Numbers& numbers)
+           traffic::AttemptListener& results, metrics::RequestMetrics& numbers)
     : loop_(loop),
       deadlines_(deadlines),
       quota_(quota),
@@ -304,7 +304,7 @@
 
 void Pool::link_sent(Link& link) {
     const auto* job = by_link_.at(&link).job;
-    if (job && !job->is_probe()) numbers_.tried(job->attempt.request_class);
+    if (job && !job->is_probe()) numbers_.count_attempt_sent(job->attempt.request_class);
 }
 
 // Once begun, an answer is the client's: it is not given up any more.
--- a/src/upstream/connection_pool/pool.h
+++ b/src/upstream/connection_pool/pool.h
@@ -28,7 +28,7 @@
 class Pool final : public traffic::AttemptSender, private LinkEvents {
 public:
     Pool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, PoolSettings settings,
-         traffic::AttemptListener& results, metrics::Numbers& numbers);
+         traffic::AttemptListener& results, metrics::RequestMetrics& numbers);
     ~Pool() override;
 
     void listed(decision::EndpointListKind kind, const std::vector<traffic::ListedEndpoint>& entries);
@@ -71,7 +71,7 @@
     net::Quota& quota_;
     PoolSettings settings_;
     traffic::AttemptListener& results_;
-    metrics::Numbers& numbers_;
+    metrics::RequestMetrics& numbers_;
     std::map<traffic::EndpointId, std::unique_ptr<Member>> members_;
     std::map<std::pair<traffic::RequestId, int>, std::unique_ptr<Job>> jobs_;
     struct Place {
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -11,15 +11,16 @@
 using nlohmann::json;
 
 TEST(Metrics, CountByRequestClassAndReason) {
-    metrics::Numbers n({"view", "change"});
-    n.answered(0, metrics::Numbers::ok);
-    n.answered(1, metrics::Numbers::shed);
-    n.answered(-1, metrics::Numbers::errors);
-    n.tried(0), n.tried(0), n.tried(2);
-    n.given_up(1, sloestack::decision::RejectionReason::no_primary),
-        n.given_up(2, sloestack::decision::RejectionReason::slow_start);
-    n.ended(0, sloestack::decision::Outcome::timeout), n.ended(0, sloestack::decision::Outcome::timeout);
-    const auto read = json::parse(n.json({3, 2, 1}));
+    metrics::RequestMetrics n({"view", "change"});
+    n.count_response(0, metrics::ResponseKind::served);
+    n.count_response(1, metrics::ResponseKind::rejected);
+    n.count_response(-1, metrics::ResponseKind::failed);
+    n.count_attempt_sent(0), n.count_attempt_sent(0), n.count_attempt_sent(2);
+    n.count_unserved(1, sloestack::decision::RejectionReason::no_primary),
+        n.count_unserved(2, sloestack::decision::RejectionReason::slow_start);
+    n.count_attempt_ended(0, sloestack::decision::Outcome::timeout),
+        n.count_attempt_ended(0, sloestack::decision::Outcome::timeout);
+    const auto read = json::parse(n.to_json({3, 2, 1}));
     ASSERT_TRUE(read["responses"]["view"]["ok"] == 1 && read["responses"]["view"]["errors"] == 0);
     ASSERT_TRUE(read["responses"]["change"]["shed"] == 1 && read["responses"]["change"]["tries"] == 0);
     ASSERT_TRUE(read["tries"] == 2 && read["active"] == 3 && read["pool_size"] == 2 &&
@@ -28,7 +29,7 @@
     ASSERT_TRUE(read["reasons"]["view"].size() == sloestack::decision::kRejectionReasonCount);
     ASSERT_TRUE(read["results"]["view"]["timeout"] == 2 && read["results"]["change"]["ok"] == 0);
     ASSERT_TRUE(read["results"]["view"].size() == sloestack::decision::kOutcomeCount);
-    ASSERT_TRUE(n.counted() == 7);
+    ASSERT_TRUE(n.total() == 7);
 }
 
 }  // namespace
