--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -206,8 +206,6 @@
 };
 constexpr std::size_t kRejectionReasonCount = static_cast<std::size_t>(RejectionReason::repeated_error) + 1;
 
-// The names in the operators' metrics.
-
 // Answer the client that nothing has run.
 struct Reject {
     RequestId request = 0;
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -272,7 +272,7 @@
 }
 
 nlohmann::json quantiles(const histogram::Histogram& h) {
-    return {{"count", h.count()}, {"p50", h.quantile(0.5)}, {"p99", h.quantile(0.99)}, {"most", h.most()}};
+    return {{"count", h.count()}, {"p50", h.quantile(0.5)}, {"p99", h.quantile(0.99)}, {"most", h.max()}};
 }
 
 nlohmann::json to_json(const replay::Report& r, const schedule::Counters& c) {
--- a/src/base/deadlines/clock.h
+++ b/src/base/deadlines/clock.h
@@ -1,5 +1,5 @@
-// The program's only clock: Unix microseconds that never go back. Wall time is read once, at start-up, and
-// carried on by the monotonic clock, so that a step of the system's clock moves no deadline.
+// The program's only clock: Unix time in microseconds that never goes back. Wall time is read once, at
+// start-up, and carried on by the monotonic clock, so that a step of the system's clock moves no deadline.
 #pragma once
 
 #include <chrono>
@@ -17,13 +17,13 @@
     Clock(const Clock&) = delete;
     Clock& operator=(const Clock&) = delete;
     virtual ~Clock() = default;
-    // Tests have clocks of their own, which stand still until they are moved.
+    // Overridden in tests by clocks that stand still until they are moved.
     virtual Time now() const { return anchor_ + micros(std::chrono::steady_clock::now() - started_); }
 
 private:
     template <class Duration>
-    static Micros micros(Duration d) {
-        return std::chrono::duration_cast<std::chrono::microseconds>(d).count();
+    static Micros micros(Duration duration) {
+        return std::chrono::duration_cast<std::chrono::microseconds>(duration).count();
     }
     std::chrono::steady_clock::time_point started_ = std::chrono::steady_clock::now();
     Time anchor_ = micros(std::chrono::system_clock::now().time_since_epoch());
--- a/src/base/deadlines/deadlines.cpp
+++ b/src/base/deadlines/deadlines.cpp
@@ -2,25 +2,25 @@
 
 namespace sloestack {
 
-void Deadline::set(Deadlines& in, Time at, std::function<void()> what) {
+void Deadline::set(Deadlines& deadlines, Time at, std::function<void()> callback) {
     clear();
-    in_ = &in;
-    key_ = {at, in.added_++};
-    in.entries_.emplace(key_, Deadlines::Entry{std::move(what), this});
+    deadlines_ = &deadlines;
+    key_ = {at, deadlines.next_sequence_++};
+    deadlines.entries_.emplace(key_, Deadlines::Entry{std::move(callback), this});
 }
 
 void Deadline::clear() {
-    if (in_) in_->entries_.erase(key_);
-    in_ = nullptr;
+    if (deadlines_) deadlines_->entries_.erase(key_);
+    deadlines_ = nullptr;
 }
 
 Deadlines::~Deadlines() {
     for (auto& [key, entry] : entries_)
-        if (entry.owner) entry.owner->in_ = nullptr;
+        if (entry.owner) entry.owner->deadlines_ = nullptr;
 }
 
-void Deadlines::add(Time at, std::function<void()> what) {
-    entries_.emplace(std::pair{at, added_++}, Entry{std::move(what), nullptr});
+void Deadlines::add(Time at, std::function<void()> callback) {
+    entries_.emplace(std::pair{at, next_sequence_++}, Entry{std::move(callback), nullptr});
 }
 
 std::optional<Time> Deadlines::next() const {
@@ -30,14 +30,16 @@
 
 void Deadlines::sweep() {
     const Time now = clock_.now();
-    const auto newest = added_;
-    // One that a deadline adds for now or earlier sorts behind what was due before, and is left for later.
-    for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now; it = entries_.begin()) {
-        if (it->first.second >= newest) break;
-        auto entry = std::move(it->second);
-        if (entry.owner) entry.owner->in_ = nullptr;
-        entries_.erase(it);
-        entry.what();
+    const auto first_new = next_sequence_;
+    while (!entries_.empty()) {
+        const auto earliest = entries_.begin();
+        const auto [at, sequence] = earliest->first;
+        // One that a callback has set for now or earlier sorts behind those that were due before it.
+        if (at > now || sequence >= first_new) return;
+        auto entry = std::move(earliest->second);
+        if (entry.owner) entry.owner->deadlines_ = nullptr;
+        entries_.erase(earliest);
+        entry.callback();
     }
 }
 
--- a/src/base/invariant/invariant.cpp
+++ b/src/base/invariant/invariant.cpp
@@ -11,10 +11,11 @@
 Counter::Counter(const char* name) : name_(name), next_(first_) { first_ = this; }
 
 void Counter::report() {
-    for (auto* c = first_; c; c = c->next_) {
-        if (c->broken_ == c->reported_) continue;
-        c->reported_ = c->broken_;
-        log::line("invariant broken", std::string(c->name_) + ", " + std::to_string(c->broken_) + " times");
+    for (auto* counter = first_; counter; counter = counter->next_) {
+        if (counter->broken_ == counter->reported_) continue;
+        counter->reported_ = counter->broken_;
+        const auto times = std::to_string(counter->broken_) + " times";
+        log::line("invariant broken", std::string(counter->name_) + ", " + times);
     }
 }
 
--- a/src/base/invariant/invariant.h
+++ b/src/base/invariant/invariant.h
@@ -1,5 +1,5 @@
-// What must always hold: asserted in debug builds, counted in release builds. A broken invariant is a fault
-// of the program, never of a peer; whoever checks one must also carry on safely when it does not hold.
+// Invariants: asserted in debug builds; in release builds counted and logged. A broken invariant is a fault
+// of the program, never of a peer; the code that checks one must also carry on safely when it does not hold.
 #pragma once
 
 #include <cassert>
@@ -7,14 +7,16 @@
 
 namespace sloestack::invariant {
 
-// One counter a place that checks; all of them are linked so that they can be reported.
+// One counter for each place that checks an invariant. Counters live as long as the program and are linked so
+// that they can be reported.
 class Counter {
 public:
+    // `name` is not copied.
     explicit Counter(const char* name);
     Counter(const Counter&) = delete;
     Counter& operator=(const Counter&) = delete;
 
-    // Counts and returns false where the condition does not hold.
+    // Returns `condition`, and counts it where it is false.
     bool holds(bool condition) {
         if (!condition) ++broken_;
         return condition;
@@ -27,14 +29,15 @@
 
 private:
     const char* name_;
-    std::uint64_t broken_ = 0, reported_ = 0;
+    std::uint64_t broken_ = 0;
+    std::uint64_t reported_ = 0;
     Counter* next_;
     static Counter* first_;
 };
 
 }  // namespace sloestack::invariant
 
-// True where the condition holds. The name says what must hold, in a few words.
+// Evaluates to whether the condition holds. `name`, a string literal, says what must hold, in a few words.
 #define SLOESTACK_INVARIANT(condition, name)                                \
     ([](bool holds_) {                                                      \
         static ::sloestack::invariant::Counter counter_(name);              \
--- a/src/base/log/log.cpp
+++ b/src/base/log/log.cpp
@@ -5,13 +5,17 @@
 #include <string>
 
 namespace sloestack::log {
+namespace {
 
-void line(std::string_view what, std::string_view detail) {
+bool is_control(unsigned char character) { return character < 0x20 || character == 0x7f; }
+
+}  // namespace
+
+void line(std::string_view event, std::string_view detail) {
     std::string text = "sloestack: ";
-    text.append(what);
+    text.append(event);
     if (!detail.empty()) text.append(": ").append(detail);
-    std::replace_if(
-        text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; }, '?');
+    std::replace_if(text.begin(), text.end(), is_control, '?');
     text.push_back('\n');
     std::fwrite(text.data(), 1, text.size(), stderr);
 }
--- a/src/base/log/log.h
+++ b/src/base/log/log.h
@@ -1,11 +1,12 @@
-// The program's log: one line a fact on standard error. docs/ON-CALL.md explains every line.
+// The program's log: one line an event on standard error. docs/ON-CALL.md explains every line.
 #pragma once
 
 #include <string_view>
 
 namespace sloestack::log {
 
-// Control characters become '?': a line of log stays one line whatever a peer sent.
-void line(std::string_view what, std::string_view detail = {});
+// Writes "sloestack: EVENT: DETAIL", without the last part where `detail` is empty. Control characters become
+// '?', so that an entry stays one line whatever a peer sent.
+void line(std::string_view event, std::string_view detail = {});
 
 }  // namespace sloestack::log
--- a/tests/record/recording_test.cpp
+++ b/tests/record/recording_test.cpp
@@ -230,7 +230,7 @@
         EXPECT_GE(static_cast<double>(h.quantile(share)), exact);
         EXPECT_LE(static_cast<double>(h.quantile(share)), exact * (1 + 1.0 / 32) + 1);
     }
-    EXPECT_EQ(h.most(), 100'000);
+    EXPECT_EQ(h.max(), 100'000);
     h.add(-5);
     h.add(std::int64_t{1} << 50);
     EXPECT_EQ(h.count(), 100'002u);
