--- a/src/app/config/config.cpp
+++ b/src/app/config/config.cpp
@@ -1,10 +1,10 @@
 #include "config/config.h"
 
-#include <algorithm>
 #include <charconv>
 #include <cstdlib>
 #include <cstring>
 #include <fstream>
+#include <utility>
 
 #include "transport/connection.h"
 
@@ -13,52 +13,32 @@
 
 using nlohmann::json;
 
-constexpr std::int64_t kFewestSockets = 64, kMostSockets = 1'000'000;
-constexpr std::int64_t kLeastMemoryMb = 16, kMostMemoryMb = 1 << 24;
-
-std::string plain(const json& value) {
-    if (value.is_null()) return {};
-    auto text = value.is_string() ? value.get<std::string>() : value.dump();
-    std::replace_if(
-        text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
-    return text;
-}
-
-void flatten(const json& value, const std::string& path, std::string& out) {
-    const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
-    if (value.is_object()) {
-        for (const auto& [name, inner] : value.items()) flatten(inner, below(name), out);
-    } else if (value.is_array() && !value.empty() && value.front().is_object()) {
-        out += below("count") + "=" + std::to_string(value.size()) + "\n";
-        for (std::size_t i = 0; i < value.size(); ++i) flatten(value[i], below(std::to_string(i)), out);
-    } else if (value.is_array()) {
-        out += path + "=";
-        for (std::size_t i = 0; i < value.size(); ++i) out += (i ? "," : "") + plain(value[i]);
-        out += "\n";
-    } else {
-        out += path + "=" + plain(value) + "\n";
-    }
-}
+constexpr std::int64_t kMinSockets = 64;
+constexpr std::int64_t kMaxSockets = 1'000'000;
+constexpr std::int64_t kMinMemoryMb = 16;
+constexpr std::int64_t kMaxMemoryMb = 1 << 24;
+constexpr int kSeedBase = 16;
 
 json read_file(const std::string& path) {
     std::ifstream in(path);
-    if (!in) throw BadConfig("EDGE_CONFIG", "cannot read " + path);
+    if (!in) throw ConfigError("EDGE_CONFIG", "cannot read " + path);
     auto out = json::parse(in, nullptr, false);
-    if (!out.is_object()) throw BadConfig("EDGE_CONFIG", "no JSON object in " + path);
+    if (!out.is_object()) throw ConfigError("EDGE_CONFIG", "no JSON object in " + path);
     return out;
 }
 
-std::string text_of(const json& file, const char* key, const char* variable, const char* name) {
-    if (variable && *variable) return variable;
+// `value` is that of the variable called `name`.
+std::string text_of(const json& file, const char* key, const char* value, const char* name) {
+    if (value && *value) return value;
     const auto found = file.find(key);
-    if (found == file.end()) throw BadConfig(name, std::string("missing, and so is ") + key);
-    if (!found->is_string()) throw BadConfig(key, "not a text");
+    if (found == file.end()) throw ConfigError(name, std::string("missing, and so is ") + key);
+    if (!found->is_string()) throw ConfigError(key, "not a text");
     return found->get<std::string>();
 }
 
 sockaddr_in address_of(const std::string& text, const char* key) {
     const auto out = net::parse_address(text);
-    if (!out) throw BadConfig(key, "not an address with a port: " + text);
+    if (!out) throw ConfigError(key, "not an address with a port: " + text);
     return *out;
 }
 
@@ -68,72 +48,78 @@
     const auto* last = text + std::strlen(text);
     const auto [end, error] = std::from_chars(text, last, out);
     if (error != std::errc() || end != last || out < 0)
-        throw BadConfig("EDGE_PASSED_SOCKET", std::string("not a descriptor: ") + text);
+        throw ConfigError("EDGE_PASSED_SOCKET", std::string("not a descriptor: ") + text);
     return out;
 }
 
 std::uint64_t seed_of(const json& file) {
     const auto found = file.find("seed");
-    if (found == file.end()) throw BadConfig("seed", "missing");
+    if (found == file.end()) throw ConfigError("seed", "missing");
     if (found->is_number_unsigned()) return found->get<std::uint64_t>();
-    if (!found->is_string()) throw BadConfig("seed", "neither a number nor hexadecimal text");
+    if (!found->is_string()) throw ConfigError("seed", "neither a number nor hexadecimal text");
     const auto text = found->get<std::string>();
     std::uint64_t out = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, kSeedBase);
     if (error != std::errc() || end != text.data() + text.size())
-        throw BadConfig("seed", "not hexadecimal: " + text);
+        throw ConfigError("seed", "not hexadecimal: " + text);
     return out;
 }
 
-std::int64_t limit_of(const json& file, const char* key, std::int64_t least, std::int64_t most) {
+std::int64_t limit_of(const json& file, const char* key, std::int64_t min, std::int64_t max) {
     const auto name = std::string("limits.") + key;
     const auto limits = file.find("limits");
-    if (limits == file.end() || !limits->is_object()) throw BadConfig("limits", "missing");
+    if (limits == file.end() || !limits->is_object()) throw ConfigError("limits", "missing");
     const auto found = limits->find(key);
-    if (found == limits->end() || !found->is_number()) throw BadConfig(name, "no number");
+    if (found == limits->end() || !found->is_number()) throw ConfigError(name, "no number");
     const auto out = found->get<double>();
-    if (!(out >= static_cast<double>(least) && out <= static_cast<double>(most)))
-        throw BadConfig(name, "out of range");
+    if (!(out >= static_cast<double>(min) && out <= static_cast<double>(max)))
+        throw ConfigError(name, "out of range");
     return static_cast<std::int64_t>(out);
 }
 
-}  // namespace
+std::optional<sockaddr_in> control_address(const json& file, const char* value) {
+    const bool is_set = value && *value;
+    if (!is_set && !file.contains("control")) return std::nullopt;
+    return address_of(text_of(file, "control", value, "EDGE_CONTROL"), "EDGE_CONTROL");
+}
 
-std::string flatten(const json& settings) {
-    std::string out;
-    flatten(settings, "", out);
-    return out;
+settings::InstanceSettings settings_of(const json& file) {
+    const auto settings = file.find("settings");
+    if (settings == file.end() || !settings->is_object()) throw ConfigError("settings", "missing");
+    try {
+        return settings::parse_settings(flatten(*settings));
+    } catch (const settings::SettingError& error) {
+        throw ConfigError("settings", error.what());
+    }
 }
 
+}  // namespace
+
+ConfigError::ConfigError(std::string key, std::string reason)
+    : std::runtime_error(key + ": " + reason), key_(std::move(key)), reason_(std::move(reason)) {}
+
 Config load(const Variable& variable) {
     const auto* path = variable("EDGE_CONFIG");
-    if (!path || !*path) throw BadConfig("EDGE_CONFIG", "missing");
-    return read(read_file(path), variable);
+    if (!path || !*path) throw ConfigError("EDGE_CONFIG", "missing");
+    return parse(read_file(path), variable);
 }
 
-Config read(const json& file, const Variable& variable) {
+Config parse(const json& file, const Variable& variable) {
     Config out;
     out.name = text_of(file, "name", variable("EDGE_NAME"), "EDGE_NAME");
     out.listen = address_of(text_of(file, "listen", variable("EDGE_LISTEN"), "EDGE_LISTEN"), "EDGE_LISTEN");
     out.discovery_host = text_of(file, "discovery", variable("EDGE_DISCOVERY"), "EDGE_DISCOVERY");
     out.discovery = address_of(out.discovery_host, "EDGE_DISCOVERY");
-    if (const auto* said = variable("EDGE_CONTROL"); (said && *said) || file.contains("control"))
-        out.control = address_of(text_of(file, "control", said, "EDGE_CONTROL"), "EDGE_CONTROL");
+    out.control = control_address(file, variable("EDGE_CONTROL"));
     out.passed_socket = descriptor_of(variable("EDGE_PASSED_SOCKET"));
     if (const auto* scratch = variable("TMPDIR")) out.scratch = scratch;
     if (const auto named = file.find("discovery"); named != file.end() && named->is_string())
         out.discovery_in_file = named->get<std::string>();
     out.seed = seed_of(file);
-    out.sockets = static_cast<int>(limit_of(file, "sockets", kFewestSockets, kMostSockets));
-    out.memory_mb = limit_of(file, "memory_mb", kLeastMemoryMb, kMostMemoryMb);
+    out.sockets = static_cast<int>(limit_of(file, "sockets", kMinSockets, kMaxSockets));
+    out.memory_mb = limit_of(file, "memory_mb", kMinMemoryMb, kMaxMemoryMb);
     out.known = file.value("known", json());
-    const auto settings = file.find("settings");
-    if (settings == file.end() || !settings->is_object()) throw BadConfig("settings", "missing");
-    try {
-        out.settings = settings::parse_settings(flatten(*settings));
-    } catch (const std::invalid_argument& error) {
-        throw BadConfig(std::string("settings"), error.what());
-    }
+    out.settings = settings_of(file);
     return out;
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -62,7 +62,7 @@
 int main(int argc, char** argv) {
     try {
         return run(argc, argv);
-    } catch (const config::BadConfig& error) {
+    } catch (const config::ConfigError& error) {
         log::line("bad configuration", error.what());
     } catch (const std::invalid_argument& error) {
         log::line("bad configuration", error.what());
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -66,7 +66,7 @@
     try {
         return lists.read(known);
     } catch (const std::runtime_error& error) {
-        throw config::BadConfig("known", error.what());
+        throw config::ConfigError("known", error.what());
     }
 }
 
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -20,7 +20,7 @@
 
 class Server final : private admin::Operated, private hot_restart::Estate {
 public:
-    // Throws config::BadConfig, or std::runtime_error where the address cannot be listened on. The clock
+    // Throws config::ConfigError, or std::runtime_error where the address cannot be listened on. The clock
     // outlives it.
     explicit Server(const config::Config& config, const Clock& clock = system_clock());
 
--- a/tests/app/config_test.cpp
+++ b/tests/app/config_test.cpp
@@ -20,10 +20,10 @@
 TEST(Config, ErrorsNameTheKeyAtFault) {
     const auto message = [](const json& file, const char* listen = nullptr) -> std::string {
         try {
-            config::read(file, [&](const char* name) {
+            config::parse(file, [&](const char* name) {
                 return std::string(name) == "EDGE_LISTEN" ? listen : nullptr;
             });
-        } catch (const config::BadConfig& error) {
+        } catch (const config::ConfigError& error) {
             return error.what();
         }
         return "accepted";
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -197,7 +197,7 @@
         const auto at_start = file_.at("at_start").get<std::string>();
         // Each process has a descriptor of its own of the socket passed on.
         const auto passed = passed_ < 0 ? std::string() : std::to_string(dup(passed_));
-        return config::read(file_, [&](const char* name) -> const char* {
+        return config::parse(file_, [&](const char* name) -> const char* {
             const std::string_view asked = name;
             if (asked == "EDGE_DISCOVERY") return at_start.c_str();
             if (passed_ < 0) return nullptr;
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -246,7 +246,7 @@
                            {"limits", {{"sockets", sockets_}, {"memory_mb", 64}}},
                            {"known", known},
                            {"settings", settings_}};
-        return config::read(file, [](const char*) { return nullptr; });
+        return config::parse(file, [](const char*) { return nullptr; });
     }
     void read_member(int number, Peer& p) {
         if (p.ended || p.fd < 0) {
