--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -61,21 +61,22 @@
     return out;
 }
 
-discovery::List known_list(discovery::Reader& lists, const nlohmann::json& known) {
+discovery::EndpointList known_list(discovery::EndpointListParser& lists, const nlohmann::json& known) {
     if (known.is_null()) return {};
     try {
-        return lists.read(known);
+        return lists.parse(known);
     } catch (const std::runtime_error& error) {
         throw config::ConfigError("known", error.what());
     }
 }
 
-std::optional<std::int64_t> known_revision(const config::Config& config, const discovery::List& known) {
+std::optional<std::int64_t> known_revision(const config::Config& config,
+                                           const discovery::EndpointList& known) {
     return config.known.is_null() ? std::nullopt : std::optional(known.revision);
 }
 
 // Where the processes of one proxy find each other.
-std::string tie_path(const config::Config& config) {
+std::string hot_restart_path(const config::Config& config) {
     auto name = config.name;
     std::replace(name.begin(), name.end(), '/', '_');
     return config.scratch + "/sloestack-" + name;
@@ -105,39 +106,40 @@
       known_(known_list(lists_, config.known)),
       discovery_(config.discovery_in_file),
       waits_for_list_(!config.settings.router.discovery_is_polled) {
-    watch_ = std::make_unique<discovery::Watch>(
+    watch_ = std::make_unique<discovery::DiscoveryWatch>(
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
-        bans_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
+        exclusions_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
     dispatch_loop_.set_targets({pool_, [this] { watch_->start(); },
                                 [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
-        room_, numbers_, downstream::Entrance{config.listen, config.passed_socket}, dispatch_loop_,
+        room_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket}, dispatch_loop_,
         config.settings.class_names, overlapping(config.settings.router),
         sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
-        control_ = std::make_unique<admin::Door>(loop_, deadlines_, *config.control,
-                                                 static_cast<admin::Operated&>(*this));
+        admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.control,
+                                                             static_cast<admin::AdminHandler&>(*this));
     if (config.passed_socket && !config.scratch.empty()) {
-        succession_ = std::make_unique<hot_restart::Succession>(loop_, deadlines_, tie_path(config),
-                                                                static_cast<hot_restart::Estate&>(*this));
-        succession_->start();
+        hot_restart_ = std::make_unique<hot_restart::HotRestart>(
+            loop_, deadlines_, hot_restart_path(config), static_cast<hot_restart::HotRestartHandler&>(*this));
+        hot_restart_->start();
     } else {
-        begin();
+        on_handover_complete();
     }
     report();
 }
 
 // ---- the processes of one proxy ----
-// The list comes after the bans: nothing is ever sent to a member that a predecessor was told to leave out.
-void Server::begin() {
-    bans_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.members));
+// The list comes after the exclusions: nothing is ever sent to a member that a predecessor was told to leave
+// out.
+void Server::on_handover_complete() {
+    exclusions_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.endpoints));
     begun_ = true;
     dispatch_loop_.run_iteration();
     if (!waits_for_list_) client_listener_->open();
 }
 
-void Server::shared_by(int processes) {
+void Server::on_process_count(int processes) {
     const auto shares = net::share(sockets_ / processes);
     clients_.allow(shares.clients);
     overflow_.allow(shares.overflow);
@@ -145,34 +147,36 @@
     members_.allow(shares.members);
     account_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     room_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
-    client_listener_->fit();
+    client_listener_->shrink_to_quota();
     pool_.fit();
 }
 
-void Server::heard(bool out, const std::string& member) { out ? bans_.ban(member) : bans_.lift(member); }
+void Server::on_exclusion_update(const std::string& endpoint, bool excluded) {
+    excluded ? exclusions_.exclude(endpoint) : exclusions_.include(endpoint);
+}
 
 // ---- what operators call ----
-std::string Server::figures() const {
+std::string Server::metrics_json() const {
     metrics::Gauges now;
     now.open_requests = dispatch_loop_.open_request_count();
-    now.listed_endpoints = bans_.listed_members();
-    now.avoided_endpoints = bans_.listed_and_banned() + dispatch_loop_.ejected_endpoint_count();
+    now.listed_endpoints = exclusions_.listed_count();
+    now.avoided_endpoints = exclusions_.listed_and_excluded_count() + dispatch_loop_.ejected_endpoint_count();
     return numbers_.to_json(now);
 }
 
 void Server::exclude(const std::string& member, Done done) {
-    bans_.ban(member);
+    exclusions_.exclude(member);
     pass_on(true, member, std::move(done));
 }
 
 void Server::include(const std::string& member, Done done) {
-    bans_.lift(member);
+    exclusions_.include(member);
     pass_on(false, member, std::move(done));
 }
 
 void Server::pass_on(bool out, const std::string& member, Done done) {
-    if (!succession_) return done();
-    succession_->tell(out, member, std::move(done));
+    if (!hot_restart_) return done();
+    hot_restart_->send_exclusion_update(member, out, std::move(done));
 }
 
 void Server::turn(Micros at_most) {
@@ -180,7 +184,7 @@
     loop_.run_once(at_most);
     dispatch_loop_.run_iteration();
     // What the agent has counts as told from the first moment on, so clients come in behind its first word.
-    if (waits_for_list_ && begun_ && watch_->has_called()) {
+    if (waits_for_list_ && begun_ && watch_->has_completed_poll()) {
         waits_for_list_ = false;
         client_listener_->open();
     }
@@ -209,24 +213,24 @@
     const auto at = config::discovery_address(named);
     discovery_ = named;
     log::line("reloaded", "discovery is at " + named);
-    watch_->move(at, named);
+    watch_->change_address(at, named);
 }
 
 void Server::report() {
     invariant::Counter::report();
     // Whatever could grow with ids, names or connections over a long day.
     if (kDebug)
-        log::line("table sizes", std::to_string(client_listener_->sessions()) + " clients, " +
+        log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
                                      std::to_string(pool_.links()) + " links, " +
                                      std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
-                                     std::to_string(lists_.names()) + " names, " +
+                                     std::to_string(lists_.known_name_count()) + " names, " +
                                      std::to_string(deadlines_.size()) + " deadlines, " +
                                      std::to_string(account_.held()) + " bytes");
     // Where there is no door, the log tells the figures; added up over all proxies they show where requests
     // go.
     if (numbers_.total() != told_) {
         told_ = numbers_.total();
-        log::line("metrics", figures());
+        log::line("metrics", metrics_json());
     }
     report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
 }
