--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -66,7 +66,7 @@
     try {
         return lists.parse(known);
     } catch (const std::runtime_error& error) {
-        throw config::BadConfig("known", error.what());
+        throw config::ConfigError("known", error.what());
     }
 }
 
@@ -157,11 +157,11 @@
 
 // ---- what operators call ----
 std::string Server::metrics_json() const {
-    metrics::State now;
-    now.active = dispatch_loop_.open_request_count();
-    now.pool_size = exclusions_.listed_count();
-    now.pool_ejected = exclusions_.listed_and_excluded_count() + dispatch_loop_.ejected_endpoint_count();
-    return numbers_.json(now);
+    metrics::Gauges now;
+    now.open_requests = dispatch_loop_.open_request_count();
+    now.listed_endpoints = exclusions_.listed_count();
+    now.avoided_endpoints = exclusions_.listed_and_excluded_count() + dispatch_loop_.ejected_endpoint_count();
+    return numbers_.to_json(now);
 }
 
 void Server::exclude(const std::string& member, Done done) {
@@ -228,8 +228,8 @@
                                      std::to_string(account_.held()) + " bytes");
     // Where there is no door, the log tells the figures; added up over all proxies they show where requests
     // go.
-    if (numbers_.counted() != told_) {
-        told_ = numbers_.counted();
+    if (numbers_.total() != told_) {
+        told_ = numbers_.total();
         log::line("metrics", metrics_json());
     }
     report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -30,7 +30,7 @@
     // response, bounds how long a stop takes. `seed` is for the keys that clients cancel by. All references
     // outlive the listener.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
-                   net::Room& large_statement_budget, metrics::Numbers& metrics,
+                   net::Room& large_statement_budget, metrics::RequestMetrics& metrics,
                    const ListenEndpoint& listen_endpoint, traffic::RequestDispatcher& dispatcher,
                    std::vector<std::string> class_names, std::vector<bool> class_may_overlap,
                    bool uses_session_tokens, Micros longest_wait, std::uint64_t seed);
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -23,7 +23,7 @@
     net::Room& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
     const net::Quota& client_quota;     // descriptors of serving connections
     net::Quota& lingering_quota;        // descriptors of connections in a lingering close
-    metrics::Numbers& metrics;
+    metrics::RequestMetrics& metrics;
     std::vector<std::string> class_names;
     // By request class: idempotent reads, which may run beside other such queries of their connection.
     std::vector<bool> class_may_overlap;
