--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -29,10 +29,10 @@
     // SIGTERM and SIGINT stop it; at SIGHUP it takes over what `load` says anew.
     void obey_signals(std::function<config::Config()> load);
     void stop() { client_listener_->stop(hot_restart_ && hot_restart_->has_successor()); }
-    bool over() const { return client_listener_->over(); }
+    bool over() const { return client_listener_->is_stopped(); }
     // Whether a list is held and clients are accepted.
     bool ready() const override {
-        return proxy_.has_ready_endpoints() && client_listener_ && client_listener_->accepting();
+        return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->is_accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
     std::uint16_t control_port() const { return admin_server_->port(); }  // where there is such a door
@@ -66,8 +66,8 @@
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
     net::Room room_;            // for large statements
     metrics::Numbers numbers_;
-    dispatch::Proxy proxy_;
-    exclusions::Exclusions exclusions_{proxy_};
+    dispatch::DispatchLoop dispatch_loop_;
+    exclusions::Exclusions exclusions_{dispatch_loop_};
     upstream::Pool pool_;
     discovery::EndpointListParser lists_;
     discovery::EndpointList known_;  // until it begins
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -9,7 +9,7 @@
 namespace sloestack::discovery {
 namespace {
 
-constexpr Micros kMinHold = 1'000;  // a request without a hold is answered at once, with or without changes
+constexpr Micros kMinHoldUs = 1'000;  // a request without a hold is answered at once, with or without changes
 constexpr std::size_t kMaxUnreadBytes = std::size_t{256} * 1024;
 constexpr int kHttpOk = 200;
 
@@ -53,7 +53,7 @@
 
 void DiscoveryWatch::connect() {
     state_ = State::connecting;
-    const auto connect_timeout = std::min(current_poll_.timeout_us, decision::PollBackoff::kPollTimeout);
+    const auto connect_timeout = std::min(current_poll_.timeout_us, decision::PollBackoff::kPollTimeoutUs);
     poll_timeout_.set(deadlines_, poll_started_at_ + connect_timeout,
                       [this] { on_poll_failed("cannot connect in time"); });
     connection_ = net::Connection::open(loop_, address_, kMaxUnreadBytes, *this);
@@ -68,7 +68,7 @@
     if (!revision_) return connection_->write(complete_list_request(host_));
     // The time to connect is part of the hold: their sum bounds how late a change is known.
     const Micros elapsed = deadlines_.now() - poll_started_at_;
-    const Micros hold = std::max(kMinHold, current_poll_.hold_us - elapsed);
+    const Micros hold = std::max(kMinHoldUs, current_poll_.hold_us - elapsed);
     connection_->write(changes_request(host_, *revision_, hold));
 }
 
