--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -7,7 +7,7 @@
 #include "discovery_poll_schedule.h"
 #include "invariant/invariant.h"
 #include "log/log.h"
-#include "postgres/link.h"
+#include "postgres/postgres_connection.h"
 
 namespace sloestack::server {
 namespace {
@@ -21,14 +21,14 @@
 constexpr const char* kUser = "portal";
 constexpr const char* kDatabase = "crm";
 
-upstream::PoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& s) {
-    upstream::PoolSettings out;
-    out.link = [&loop](const sockaddr_in& to, net::Slot slot, upstream::LinkEvents& events) {
-        return std::make_unique<postgres::Link>(loop, to, std::move(slot),
-                                                postgres::Link::User{kUser, kDatabase}, events);
+upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& s) {
+    upstream::ConnectionPoolSettings out;
+    out.connect = [&loop](const sockaddr_in& to, net::Slot slot, upstream::UpstreamConnectionEvents& events) {
+        return std::make_unique<postgres::PostgresConnection>(
+            loop, to, std::move(slot), postgres::PostgresConnection::Credentials{kUser, kDatabase}, events);
     };
     if (s.connect_timeout_us > 0) out.connect_timeout_us = s.connect_timeout_us;
-    if (s.idle_limit_us > 0) out.idle_limit_us = s.idle_limit_us;
+    if (s.idle_limit_us > 0) out.idle_timeout_us = s.idle_limit_us;
     out.removal_is_advisory = s.router.removal_is_advisory;
     return out;
 }
@@ -109,7 +109,7 @@
         loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
         bans_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
     proxy_.attach({pool_, [this] { watch_->start(); },
-                   [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
+                   [this](auto kind, const auto& entries) { pool_.update_endpoints(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
         room_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket}, proxy_,
@@ -146,7 +146,7 @@
     account_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     room_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     client_listener_->shrink_to_quota();
-    pool_.fit();
+    pool_.shrink_to_quota();
 }
 
 void Server::heard(bool out, const std::string& member) { out ? bans_.ban(member) : bans_.lift(member); }
@@ -217,7 +217,7 @@
     // Whatever could grow with ids, names or connections over a long day.
     if (kDebug)
         log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
-                                     std::to_string(pool_.links()) + " links, " +
+                                     std::to_string(pool_.connection_count()) + " links, " +
                                      std::to_string(proxy_.open_requests()) + " requests, " +
                                      std::to_string(lists_.names()) + " names, " +
                                      std::to_string(deadlines_.size()) + " deadlines, " +
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -5,7 +5,7 @@
 
 #include "admin_server/admin_server.h"
 #include "config/config.h"
-#include "connection_pool/pool.h"
+#include "connection_pool/connection_pool.h"
 #include "discovery/list.h"
 #include "discovery/watch.h"
 #include "dispatch_loop/dispatch_loop.h"
@@ -66,7 +66,7 @@
     metrics::Numbers numbers_;
     dispatch::Proxy proxy_;
     exclusions::Bans bans_{proxy_};
-    upstream::Pool pool_;
+    upstream::ConnectionPool pool_;
     discovery::Reader lists_;
     discovery::List known_;  // until it begins
     std::unique_ptr<discovery::Watch> watch_;
--- /dev/null
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -0,0 +1,81 @@
+// What the pool does as its connections are established, carry responses and fail.
+#include "connection_pool/connection_pool.h"
+
+namespace sloestack::upstream {
+namespace {
+
+using decision::Outcome;
+
+constexpr Micros kResponsePartTimeout = 150'000;  // endpoints write a response in one go
+constexpr Micros kValueChunkTimeout = 5'000'000;  // a streamed value may arrive slowly
+
+}  // namespace
+
+void ConnectionPool::on_connection_established(UpstreamConnection& connection) {
+    auto& endpoint = *connections_.at(&connection).endpoint;
+    --endpoint.connecting;
+    make_idle(endpoint, connection);
+}
+
+void ConnectionPool::on_query_sent(UpstreamConnection& connection) {
+    const auto* attempt = connections_.at(&connection).attempt;
+    if (attempt && !attempt->is_health_check) metrics_.tried(attempt->attempt.request_class);
+}
+
+// Once its response has begun, an attempt no longer times out: what was written to the client stands.
+bool ConnectionPool::on_value_started(UpstreamConnection& connection, const traffic::ResultValue& head,
+                                      std::size_t size) {
+    auto& attempt = *connections_.at(&connection).attempt;
+    const decision::AnswerStarted started{attempt.attempt.request, attempt.attempt.number,
+                                          attempt.attempt.endpoint, deadlines_.now() - attempt.started_at};
+    if (!attempt.is_health_check && listener_.on_answer_started(started, head, size, connection)) {
+        attempt.attempt_timeout.clear();
+        return true;
+    }
+    give_up(attempt, Outcome::cancelled);
+    return false;
+}
+
+void ConnectionPool::on_value_chunk(UpstreamConnection& connection, std::string_view bytes) {
+    listener_.on_value_chunk(connections_.at(&connection).attempt->attempt.request, bytes);
+}
+
+void ConnectionPool::on_response_progress(UpstreamConnection& connection) {
+    if (connection.is_paused()) return connection.timeout.clear();  // it waits for the client
+    const Micros timeout = connection.is_streaming() ? kValueChunkTimeout : kResponsePartTimeout;
+    connection.timeout.set(deadlines_, deadlines_.now() + timeout,
+                           [&connection] { connection.fail_invalid_response(); });
+}
+
+void ConnectionPool::on_response(UpstreamConnection& connection, UpstreamResponse& response) {
+    connection.timeout.clear();
+    auto& state = connections_.at(&connection);
+    auto* attempt = std::exchange(state.attempt, nullptr);
+    attempt->connection = nullptr;
+    auto& endpoint = *state.endpoint;
+    attempts_.finish(*attempt, *response.outcome, &response);
+    rest_before_reuse(endpoint, connection);
+}
+
+void ConnectionPool::on_connection_failed(UpstreamConnection& connection, UpstreamResponse& response,
+                                          bool too_many_connections) {
+    const auto state = connections_.at(&connection);
+    auto& endpoint = *state.endpoint;
+    const bool was_established = connection.is_established();
+    const bool may_have_executed = connection.may_have_executed();
+    close(connection);
+    if (state.attempt) {
+        state.attempt->connection = nullptr;
+        if (response.outcome) return attempts_.finish(*state.attempt, *response.outcome, &response);
+        return attempts_.finish(*state.attempt, may_have_executed ? Outcome::reset : Outcome::connect_failed);
+    }
+    if (was_established)
+        return serve_waiting(endpoint);  // an attempt that would have reused it needs another
+    // A connection that cannot be established fails one attempt; the others wait for theirs.
+    if (endpoint.waiting.size() <= endpoint.connecting) return;
+    auto& attempt = *endpoint.waiting.front();
+    endpoint.waiting.pop_front();
+    attempts_.finish(attempt, too_many_connections ? Outcome::overloaded : Outcome::connect_failed);
+}
+
+}  // namespace sloestack::upstream
--- a/tests/upstream/postgres_reply_test.cpp
+++ b/tests/upstream/postgres_reply_test.cpp
@@ -6,8 +6,9 @@
 #include <string_view>
 #include <utility>
 
+#include "connection_pool/load_report.h"
 #include "pgwire/build.h"
-#include "postgres/reply.h"
+#include "postgres/reply_parser.h"
 #include "random_bytes.h"
 
 namespace {
@@ -17,12 +18,12 @@
 using decision::Outcome;
 using decision::Role;
 
-postgres::Reply reply_to(const std::string& bytes, bool& whole) {
-    postgres::Reply out;
+postgres::ReplyParser reply_to(const std::string& bytes, bool& whole) {
+    postgres::ReplyParser out;
     std::string_view left = bytes;
     whole = false;
-    while (const auto m = pgwire::next_message(left, [&](char type) { return out.longest(type); })) {
-        whole = out.take(*m);
+    while (const auto m = pgwire::next_message(left, [&](char type) { return out.max_size_of(type); })) {
+        whole = out.read(*m);
         left.remove_prefix(m->size);
     }
     return out;
@@ -47,20 +48,22 @@
         .parameter("load", "x0=1767225600.5,x1=0,active=7")
         .ready();
     auto r = reply_to(bytes, whole);
-    ASSERT_TRUE(whole && r.answer().outcome == Outcome::ok && r.answer().value->bytes == "v" &&
-                r.answer().value->type == 17);
-    ASSERT_TRUE(r.answer().value->is_binary && r.answer().value->command_tag == "SELECT 1" &&
-                r.answer().value->column == "data");
-    ASSERT_TRUE(r.answer().status.role == Role::primary && r.answer().status.position == 1767225600123000);
-    ASSERT_TRUE(r.answer().reported_status.role == Role::replica &&
-                r.answer().reported_status.position == 1767225600500000);
+    ASSERT_TRUE(whole && r.response().outcome == Outcome::ok && r.response().value->bytes == "v" &&
+                r.response().value->type == 17);
+    ASSERT_TRUE(r.response().value->is_binary && r.response().value->command_tag == "SELECT 1" &&
+                r.response().value->column == "data");
+    ASSERT_TRUE(r.response().status.role == Role::primary &&
+                r.response().status.position == 1767225600123000);
+    ASSERT_TRUE(r.response().reported_status.role == Role::replica &&
+                r.response().reported_status.position == 1767225600500000);
 }
 
 TEST(PostgresReply, RejectsALoadReportWithAnyUnreadablePart) {
     // A report that cannot be read in part tells nothing at all.
     for (const char* bad : {"x0=1767225600.5,x1=2", "x0=1767225600.5,,x1=1", "x0=1767225600.5,inflight=-1",
                             "x0=1767225600.5,x1", "x0=1767225600.5,x1=nan", "x0=inf"})
-        ASSERT_TRUE(!upstream::read_load(bad).position && upstream::read_load(bad).role == Role::unknown);
+        ASSERT_TRUE(!upstream::parse_load_report(bad).position &&
+                    upstream::parse_load_report(bad).role == Role::unknown);
 }
 
 TEST(PostgresReply, MapsErrorCodesToOutcomes) {
@@ -73,7 +76,7 @@
                                         {"08P01", Outcome::error}}) {
         bytes.clear();
         pgwire::Builder(bytes).error("ERROR", code, "x").ready();
-        ASSERT_TRUE(reply_to(bytes, whole).answer().outcome == outcome && whole);
+        ASSERT_TRUE(reply_to(bytes, whole).response().outcome == outcome && whole);
     }
 }
 
@@ -83,10 +86,10 @@
     // An end without a row serves nothing: guards against an answer that no member made.
     bytes.clear();
     pgwire::Builder(bytes).complete("SELECT 0").ready();
-    ASSERT_TRUE(reply_to(bytes, whole).answer().outcome == Outcome::error);
+    ASSERT_TRUE(reply_to(bytes, whole).response().outcome == Outcome::error);
     bytes.clear();
     pgwire::Builder(bytes).row_description("data", 17, true).data_row("v");
-    ASSERT_TRUE(!reply_to(bytes, whole).answer().outcome && !whole);
+    ASSERT_TRUE(!reply_to(bytes, whole).response().outcome && !whole);
     bytes.clear();
     pgwire::Builder(bytes).ready();
     ASSERT_THROW(static_cast<void>(reply_to(bytes, whole)), pgwire::BadMessage);
@@ -108,7 +111,7 @@
     // A large row is known by its head, whose lengths must agree.
     const auto begun = [&](const std::string& head, std::size_t size) {
         auto reply = reply_to(row("", 0), whole);
-        return reply.begin_row(head, size);
+        return reply.begin_streamed_row(head, size);
     };
     ASSERT_TRUE(begun(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa0", 11), 100'011) == 100'000);
     ASSERT_THROW(static_cast<void>(begun(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa1", 11), 100'011)),
@@ -124,7 +127,7 @@
     for (int i = 0; i < 5000; ++i) {
         const auto body = random_bytes(random, random() % 40);
         try {
-            postgres::Reply().take({"STDCEINZR"[random() % 9], body, body.size()});
+            postgres::ReplyParser().read({"STDCEINZR"[random() % 9], body, body.size()});
         } catch (const pgwire::BadMessage&) {
         }
     }
