--- a/tests/fleet/discovery_watch_test.cpp
+++ b/tests/fleet/discovery_watch_test.cpp
@@ -1,9 +1,10 @@
 // The discovery watch over loopback sockets, on the test's own clock: whatever way polls fail, a change is
 // known within the six seconds that operators are promised, and an incomplete answer is never used.
+#include "discovery/discovery_watch.h"
+
 #include <optional>
 #include <vector>
 
-#include "discovery/watch.h"
 #include "discovery_poll_schedule.h"
 #include "loopback.h"
 
@@ -123,7 +124,7 @@
     std::optional<sloestack::decision::EndpointState> state;  // of the only member, as last reported
     Time notified_at = 0;
     Listener discovery_;
-    discovery::Watch& watch() { return watch_; }
+    discovery::DiscoveryWatch& watch() { return watch_; }
 
 private:
     std::string take_poll() {
@@ -142,8 +143,8 @@
     net::Loop loop_;
     Deadlines deadlines_{clock};
     PollBackoff backoff_;
-    discovery::Reader lists_{{"a"}};
-    discovery::Watch watch_;
+    discovery::EndpointListParser lists_{{"a"}};
+    discovery::DiscoveryWatch watch_;
     Deadline retry_;
     loopback::Peer* polling_peer_ = nullptr;
 };
@@ -163,7 +164,7 @@
     EXPECT_TRUE(harness.run_until([&] {
         return harness.state == sloestack::decision::EndpointState::draining;
     })) << what;
-    EXPECT_LT(harness.notified_at - changed_at, PollBackoff::kNotificationBound) << what;
+    EXPECT_LT(harness.notified_at - changed_at, PollBackoff::kNotificationBoundUs) << what;
 }
 
 // A member begins to drain just as discovery stops answering.
@@ -241,7 +242,7 @@
     Listener other;
     auto& old = harness.discovery_.peers.back();
     old.send(response(list(8, "terminated")));  // has arrived before the move, but may not have been read
-    harness.watch().move(loopback::address(other.port()), "other");
+    harness.watch().change_address(loopback::address(other.port()), "other");
     ASSERT_TRUE(harness.run_until([&] {
         other.receive();
         return !other.peers.empty() && !other.peers.front().received.empty();
@@ -272,7 +273,7 @@
             return other.peers.front().received.find(next) != std::string::npos;
         });
     };
-    harness.watch().move(loopback::address(other.port()), "other");
+    harness.watch().change_address(loopback::address(other.port()), "other");
     ASSERT_TRUE(harness.run_until([&] {
         other.receive();
         return !other.peers.empty() && !other.peers.front().received.empty();
@@ -289,9 +290,9 @@
     bring_to_long_poll(harness);
     Listener second;
     Listener third;
-    harness.watch().move(loopback::address(second.port()), "second");
+    harness.watch().change_address(loopback::address(second.port()), "second");
     harness.run_once();
-    harness.watch().move(loopback::address(third.port()), "third");
+    harness.watch().change_address(loopback::address(third.port()), "third");
     ASSERT_TRUE(harness.run_until([&] {
         third.receive();
         return !third.peers.empty() && !third.peers.front().received.empty();
