--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -7,64 +7,21 @@
 #include "discovery_poll_schedule.h"
 #include "invariant/invariant.h"
 #include "log/log.h"
-#include "postgres/link.h"
+#include "server/derived_settings.h"
 
 namespace sloestack::server {
 namespace {
 
-constexpr Micros kReportEvery = 10'000'000;
+constexpr Micros kReportInterval = 10'000'000;
 #ifdef NDEBUG
-constexpr bool kDebug = false;
+constexpr bool kIsDebugBuild = false;
 #else
-constexpr bool kDebug = true;
+constexpr bool kIsDebugBuild = true;
 #endif
-constexpr const char* kUser = "portal";
-constexpr const char* kDatabase = "crm";
-
-upstream::PoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& s) {
-    upstream::PoolSettings out;
-    out.link = [&loop](const sockaddr_in& to, net::Slot slot, upstream::LinkEvents& events) {
-        return std::make_unique<postgres::Link>(loop, to, std::move(slot),
-                                                postgres::Link::User{kUser, kDatabase}, events);
-    };
-    if (s.connect_timeout_us > 0) out.connect_timeout_us = s.connect_timeout_us;
-    if (s.idle_limit_us > 0) out.idle_limit_us = s.idle_limit_us;
-    out.removal_is_advisory = s.router.removal_is_advisory;
-    return out;
-}
-
-// On sockets a refusal always has a field for advice, whatever the simulator's settings say of its own wire.
-decision::Settings module_settings(decision::Settings s) {
-    s.retry_after_supported = true;
-    // And lists always have to be asked for; where they are pushed, of an agent of the proxy's own.
-    s.discovery_agent_is_local = !s.discovery_is_polled;
-    s.discovery_is_polled = true;
-    return s;
-}
-
-bool sessions_named(const decision::Settings& s) {
-    return std::any_of(s.classes.begin(), s.classes.end(),
-                       [](const auto& c) { return c.consistency == decision::Consistency::session; });
-}
-
-// Reads that may be repeated change nothing that another read could tell.
-std::vector<bool> overlapping(const decision::Settings& s) {
-    std::vector<bool> out;
-    for (const auto& c : s.classes)
-        out.push_back(c.idempotency == decision::Idempotency::idempotent && !c.is_write);
-    return out;
-}
-
-Micros longest_wait(const decision::Settings& s) {
-    Micros out = 0;
-    for (const auto& c : s.classes) out = std::max(out, c.deadline_us);
-    return out;
-}
-
-discovery::EndpointList known_list(discovery::EndpointListParser& lists, const nlohmann::json& known) {
+discovery::EndpointList parse_known_list(discovery::EndpointListParser& parser, const nlohmann::json& known) {
     if (known.is_null()) return {};
     try {
-        return lists.parse(known);
+        return parser.parse(known);
     } catch (const std::runtime_error& error) {
         throw config::ConfigError("known", error.what());
     }
@@ -91,31 +48,26 @@
 
 Server::Server(const config::Config& config, const Clock& clock)
     : deadlines_(clock),
-      sockets_(config.sockets),
+      max_sockets_(config.sockets),
       memory_mb_(config.memory_mb),
-      clients_(net::share(config.sockets).clients),
-      overflow_(net::share(config.sockets).overflow),
-      lingering_(net::share(config.sockets).lingering),
-      members_(net::share(config.sockets).members),
-      account_(net::bytes_for_clients(config.memory_mb)),
-      room_(net::bytes_for_clients(config.memory_mb)),
-      numbers_(config.settings.class_names),
-      dispatch_loop_(deadlines_, module_settings(config.settings.router), config.seed, numbers_),
-      pool_(loop_, deadlines_, members_, pool_settings(loop_, config.settings), dispatch_loop_, numbers_),
-      lists_(config.settings.zone_names),
-      known_(known_list(lists_, config.known)),
-      discovery_(config.discovery_in_file),
-      waits_for_list_(!config.settings.router.discovery_is_polled) {
-    watch_ = std::make_unique<discovery::DiscoveryWatch>(
-        loop_, deadlines_, config.discovery, config.discovery_host, lists_, known_revision(config, known_),
-        exclusions_, decision::PollTimeouts(module_settings(config.settings.router), config.seed));
+      client_quota_(net::share(config.sockets).clients),
+      overflow_quota_(net::share(config.sockets).overflow),
+      lingering_quota_(net::share(config.sockets).lingering),
+      endpoint_quota_(net::share(config.sockets).members),
+      client_bytes_(net::bytes_for_clients(config.memory_mb)),
+      large_statement_budget_(net::bytes_for_clients(config.memory_mb)),
+      metrics_(config.settings.class_names),
+      dispatch_loop_(deadlines_, router_settings(config.settings.router), config.seed, metrics_),
+      pool_(loop_, deadlines_, endpoint_quota_, pool_settings(loop_, config.settings), dispatch_loop_,
+            metrics_),
+      list_parser_(config.settings.zone_names),
+      known_list_(parse_known_list(list_parser_, config.known)),
+      discovery_in_file_(config.discovery_in_file),
+      waits_for_discovery_(!config.settings.router.discovery_is_polled) {
+    watch_ = make_discovery_watch(config);
     dispatch_loop_.set_targets({pool_, [this] { watch_->start(); },
                                 [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
-    client_listener_ = std::make_unique<downstream::ClientListener>(
-        loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
-        room_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket}, dispatch_loop_,
-        config.settings.class_names, overlapping(config.settings.router),
-        sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
+    client_listener_ = make_client_listener(config);
     if (config.control)
         admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.control,
                                                              static_cast<admin::AdminHandler&>(*this));
@@ -129,24 +81,41 @@
     report();
 }
 
-// ---- the processes of one proxy ----
-// The list comes after the exclusions: nothing is ever sent to a member that a predecessor was told to leave
-// out.
+std::unique_ptr<discovery::DiscoveryWatch> Server::make_discovery_watch(const config::Config& config) {
+    const decision::PollTimeouts timeouts(router_settings(config.settings.router), config.seed);
+    return std::make_unique<discovery::DiscoveryWatch>(
+        loop_, deadlines_, config.discovery, config.discovery_host, list_parser_,
+        known_revision(config, known_list_), exclusions_, timeouts);
+}
+
+std::unique_ptr<downstream::ClientListener> Server::make_client_listener(const config::Config& config) {
+    const auto& router = config.settings.router;
+    const downstream::ClientListener::Quotas quotas{client_quota_, overflow_quota_, lingering_quota_};
+    const downstream::ListenEndpoint listen_endpoint{config.listen, config.passed_socket};
+    return std::make_unique<downstream::ClientListener>(
+        loop_, deadlines_, quotas, client_bytes_, large_statement_budget_, metrics_, listen_endpoint,
+        dispatch_loop_, config.settings.class_names, overlap_allowed(router), uses_session_tokens(router),
+        longest_deadline(router), config.seed);
+}
+
+// ---- HotRestartHandler ----
+// The list comes after the exclusions: nothing is ever sent to an endpoint that was excluded at a
+// predecessor.
 void Server::on_handover_complete() {
-    exclusions_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_.endpoints));
-    begun_ = true;
+    exclusions_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_list_.endpoints));
+    is_serving_ = true;
     dispatch_loop_.run_iteration();
-    if (!waits_for_list_) client_listener_->open();
+    if (!waits_for_discovery_) client_listener_->open();
 }
 
 void Server::on_process_count(int processes) {
-    const auto shares = net::share(sockets_ / processes);
-    clients_.allow(shares.clients);
-    overflow_.allow(shares.overflow);
-    lingering_.allow(shares.lingering);
-    members_.allow(shares.members);
-    account_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
-    room_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
+    const auto shares = net::share(max_sockets_ / processes);
+    client_quota_.allow(shares.clients);
+    overflow_quota_.allow(shares.overflow);
+    lingering_quota_.allow(shares.lingering);
+    endpoint_quota_.allow(shares.members);
+    client_bytes_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
+    large_statement_budget_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     client_listener_->shrink_to_quota();
     pool_.fit();
 }
@@ -155,37 +124,39 @@
     excluded ? exclusions_.exclude(endpoint) : exclusions_.include(endpoint);
 }
 
-// ---- what operators call ----
+// ---- AdminHandler ----
 std::string Server::metrics_json() const {
-    metrics::Gauges now;
-    now.open_requests = dispatch_loop_.open_request_count();
-    now.listed_endpoints = exclusions_.listed_count();
-    now.avoided_endpoints = exclusions_.listed_and_excluded_count() + dispatch_loop_.ejected_endpoint_count();
-    return numbers_.to_json(now);
+    metrics::Gauges gauges;
+    gauges.open_requests = dispatch_loop_.open_request_count();
+    gauges.listed_endpoints = exclusions_.listed_count();
+    gauges.avoided_endpoints =
+        exclusions_.listed_and_excluded_count() + dispatch_loop_.ejected_endpoint_count();
+    return metrics_.to_json(gauges);
 }
 
-void Server::exclude(const std::string& member, Done done) {
-    exclusions_.exclude(member);
-    pass_on(true, member, std::move(done));
+void Server::exclude(const std::string& endpoint, Done done) {
+    exclusions_.exclude(endpoint);
+    share_exclusion(endpoint, true, std::move(done));
 }
 
-void Server::include(const std::string& member, Done done) {
-    exclusions_.include(member);
-    pass_on(false, member, std::move(done));
+void Server::include(const std::string& endpoint, Done done) {
+    exclusions_.include(endpoint);
+    share_exclusion(endpoint, false, std::move(done));
 }
 
-void Server::pass_on(bool out, const std::string& member, Done done) {
+void Server::share_exclusion(const std::string& endpoint, bool excluded, Done done) {
     if (!hot_restart_) return done();
-    hot_restart_->send_exclusion_update(member, out, std::move(done));
+    hot_restart_->send_exclusion_update(endpoint, excluded, std::move(done));
 }
 
+// ---- the event loop ----
 void Server::turn(Micros at_most) {
     if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
     loop_.run_once(at_most);
     dispatch_loop_.run_iteration();
-    // What the agent has counts as told from the first moment on, so clients come in behind its first word.
-    if (waits_for_list_ && begun_ && watch_->has_completed_poll()) {
-        waits_for_list_ = false;
+    // Where lists are pushed, clients are accepted once the local agent has answered or failed.
+    if (waits_for_discovery_ && is_serving_ && watch_->has_completed_poll()) {
+        waits_for_discovery_ = false;
         client_listener_->open();
     }
     loop_.end_turn();
@@ -194,8 +165,7 @@
 void Server::obey_signals(std::function<config::Config()> load) {
     for (const int signal : {SIGTERM, SIGINT}) loop_.on_signal(signal, [this] { stop(); });
     loop_.on_signal(SIGHUP, [this, load = std::move(load)] {
-        // A file that cannot be used changes nothing: guards against a slip of the pen that ends a proxy in
-        // service.
+        // A file that cannot be used changes nothing: an error in it must not end a proxy that serves.
         try {
             reload(load());
         } catch (const std::exception& error) {
@@ -204,35 +174,37 @@
     });
 }
 
-// Only discovery's address can change while running; the rest of the file holds from the next start on.
-// The file counts here even where EDGE_DISCOVERY was set: the environment cannot be changed any more, so only
-// the file can tell of a move. What the file said before is no news.
+// Only discovery's address can change while running; the rest of the file takes effect at the next start. The
+// file is used here even where EDGE_DISCOVERY was set: the environment of a running process cannot be
+// changed.
 void Server::reload(const config::Config& fresh) {
     const auto& named = fresh.discovery_in_file;
-    if (named.empty() || named == discovery_) return log::line("reloaded", "nothing has changed");
+    if (named.empty() || named == discovery_in_file_) return log::line("reloaded", "nothing has changed");
     const auto at = config::discovery_address(named);
-    discovery_ = named;
+    discovery_in_file_ = named;
     log::line("reloaded", "discovery is at " + named);
     watch_->change_address(at, named);
 }
 
+// Sizes of whatever could grow without bound with ids, names or connections.
+void Server::log_table_sizes() const {
+    log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
+                                 std::to_string(pool_.links()) + " links, " +
+                                 std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
+                                 std::to_string(list_parser_.known_name_count()) + " names, " +
+                                 std::to_string(deadlines_.size()) + " deadlines, " +
+                                 std::to_string(client_bytes_.held()) + " bytes");
+}
+
 void Server::report() {
     invariant::Counter::report();
-    // Whatever could grow with ids, names or connections over a long day.
-    if (kDebug)
-        log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
-                                     std::to_string(pool_.links()) + " links, " +
-                                     std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
-                                     std::to_string(lists_.known_name_count()) + " names, " +
-                                     std::to_string(deadlines_.size()) + " deadlines, " +
-                                     std::to_string(account_.held()) + " bytes");
-    // Where there is no door, the log tells the figures; added up over all proxies they show where requests
-    // go.
-    if (numbers_.total() != told_) {
-        told_ = numbers_.total();
+    if (kIsDebugBuild) log_table_sizes();
+    // For deployments without an admin server.
+    if (metrics_.total() != logged_total_) {
+        logged_total_ = metrics_.total();
         log::line("metrics", metrics_json());
     }
-    report_.set(deadlines_, deadlines_.now() + kReportEvery, [this] { report(); });
+    report_timer_.set(deadlines_, deadlines_.now() + kReportInterval, [this] { report(); });
 }
 
 }  // namespace sloestack::server
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -1,4 +1,4 @@
-// The whole proxy, put together from its packages; main and the network tests both run this.
+// The proxy, put together from its packages, and its event loop. main and the network tests both run it.
 #pragma once
 
 #include <functional>
@@ -20,66 +20,78 @@
 
 class Server final : private admin::AdminHandler, private hot_restart::HotRestartHandler {
 public:
-    // Throws config::ConfigError, or std::runtime_error where the address cannot be listened on. The clock
-    // outlives it.
+    // Throws config::ConfigError, or std::runtime_error where an address cannot be listened on. The clock is
+    // not owned and outlives the server.
     explicit Server(const config::Config& config, const Clock& clock = system_clock());
 
-    // Waits for something to happen, `at_most` that long, and deals with all that has.
+    // One iteration of the event loop: waits for an event, `at_most` that long, and handles all that have
+    // come.
     void turn(Micros at_most);
-    // SIGTERM and SIGINT stop it; at SIGHUP it takes over what `load` says anew.
+    // SIGTERM and SIGINT stop the server; SIGHUP reloads the configuration by `load`.
     void obey_signals(std::function<config::Config()> load);
     void stop() { client_listener_->stop(hot_restart_ && hot_restart_->has_successor()); }
+    // Whether the server has stopped: all clients have had their responses.
     bool over() const { return client_listener_->is_stopped(); }
-    // Whether a list is held and clients are accepted.
+    // Whether some endpoint is ready and clients are accepted.
     bool ready() const override {
         return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->is_accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
-    std::uint16_t control_port() const { return admin_server_->port(); }  // where there is such a door
+    std::uint16_t control_port() const {
+        return admin_server_->port();
+    }  // only where the configuration names one
 
 private:
     static const Clock& system_clock();
     void reload(const config::Config& fresh);
+    // Logs broken invariants and metrics that have changed, at intervals.
     void report();
+    void log_table_sizes() const;
+    std::unique_ptr<discovery::DiscoveryWatch> make_discovery_watch(const config::Config& config);
+    std::unique_ptr<downstream::ClientListener> make_client_listener(const config::Config& config);
+    // Tells the other processes of this proxy; `done` is called once they know or don't answer.
+    void share_exclusion(const std::string& endpoint, bool excluded, Done done);
 
-    // What operators call
+    // AdminHandler
     std::string metrics_json() const override;
     bool was_ever_listed(const std::string& endpoint) const override {
-        return lists_.was_ever_listed(endpoint);
+        return list_parser_.was_ever_listed(endpoint);
     }
-    void exclude(const std::string& member, Done done) override;
-    void include(const std::string& member, Done done) override;
-    void pass_on(bool out, const std::string& member, Done done);
+    void exclude(const std::string& endpoint, Done done) override;
+    void include(const std::string& endpoint, Done done) override;
 
-    // What the processes of one proxy hand on and share
+    // HotRestartHandler
     const std::set<std::string>& excluded_endpoints() const override { return exclusions_.excluded(); }
     void on_exclusion_update(const std::string& endpoint, bool excluded) override;
     void on_process_count(int processes) override;
-    bool is_within_share() const override { return !clients_.over() && !members_.over(); }
+    bool is_within_share() const override { return !client_quota_.over() && !endpoint_quota_.over(); }
     void on_handover_complete() override;
 
     net::Loop loop_;
     Deadlines deadlines_;
-    int sockets_;
+    int max_sockets_;
     std::int64_t memory_mb_;
-    net::Quota clients_, overflow_, lingering_, members_;
-    net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
-    net::Room room_;            // for large statements
-    metrics::RequestMetrics numbers_;
+    net::Quota client_quota_;        // descriptors of clients that are served,
+    net::Quota overflow_quota_;      // of those only told to retry later,
+    net::Quota lingering_quota_;     // of those in a lingering close,
+    net::Quota endpoint_quota_;      // and of connections to endpoints
+    net::ByteAccount client_bytes_;  // buffered for clients, in either direction
+    net::Room large_statement_budget_;
+    metrics::RequestMetrics metrics_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Exclusions exclusions_{dispatch_loop_};
     upstream::Pool pool_;
-    discovery::EndpointListParser lists_;
-    discovery::EndpointList known_;  // until it begins
+    discovery::EndpointListParser list_parser_;
+    discovery::EndpointList known_list_;  // from the configuration; moved out when serving begins
     std::unique_ptr<discovery::DiscoveryWatch> watch_;
-    std::string discovery_;  // as the file named it last
-    bool begun_ = false;
-    bool waits_for_list_;  // clients are let in once discovery has been heard, or has failed to answer
+    std::string discovery_in_file_;  // as of the last load
+    bool is_serving_ = false;
+    bool waits_for_discovery_;  // clients are accepted once discovery has answered or failed
     std::unique_ptr<downstream::ClientListener> client_listener_;
     std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<hot_restart::HotRestart> hot_restart_;
-    Deadline report_;
-    std::uint64_t told_ = 0;  // how much had been counted when the log last told the figures
+    Deadline report_timer_;
+    std::uint64_t logged_total_ = 0;  // RequestMetrics::total() when the metrics were last logged
 };
 
 }  // namespace sloestack::server
