--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -9,7 +9,7 @@
 namespace sloestack::discovery {
 namespace {
 
-constexpr Micros kMinHold = 1'000;  // a request without a hold is answered at once, with or without changes
+constexpr Micros kMinHoldUs = 1'000;  // a request without a hold is answered at once, with or without changes
 constexpr std::size_t kMaxUnreadBytes = std::size_t{256} * 1024;
 constexpr int kHttpOk = 200;
 
@@ -68,7 +68,7 @@
     if (!revision_) return connection_->write(complete_list_request(host_));
     // The time to connect is part of the hold: their sum bounds how late a change is known.
     const Micros elapsed = deadlines_.now() - poll_started_at_;
-    const Micros hold = std::max(kMinHold, current_poll_.hold_us - elapsed);
+    const Micros hold = std::max(kMinHoldUs, current_poll_.hold_us - elapsed);
     connection_->write(changes_request(host_, *revision_, hold));
 }
 
--- a/src/state/hot_restart/acknowledgement_tracker.cpp
+++ b/src/state/hot_restart/acknowledgement_tracker.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::hot_restart {
 namespace {
 
-constexpr Micros kAcknowledgementTimeout = 300'000;
+constexpr Micros kAcknowledgementTimeoutUs = 300'000;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
     auto& update = pending_[sequence];
     update.missing = std::move(peers);
     update.done = std::move(done);
-    update.timeout.set(deadlines_, deadlines_.now() + kAcknowledgementTimeout, [this, sequence] {
+    update.timeout.set(deadlines_, deadlines_.now() + kAcknowledgementTimeoutUs, [this, sequence] {
         const auto timed_out = pending_.extract(sequence);
         timed_out.mapped().done();
     });
