--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,6 +1,6 @@
-// sloestack: a proxy on sockets round the decision module.
+// sloestack: the command line of the proxy.
 #include <csignal>
-#include <cstdio>
+#include <cstdlib>
 #include <cxxopts.hpp>
 #include <iostream>
 #include <string>
@@ -13,18 +13,39 @@
 namespace {
 
 using namespace sloestack;
-constexpr int kBadInput = 2;
-constexpr Micros kLongestTurn = 60'000'000;
+
+constexpr int kExitFailure = 1;
+constexpr int kExitBadInput = 2;
+constexpr Micros kMaxIterationWait = 60'000'000;
 
 int serve(const config::Config& config) {
     std::signal(SIGPIPE, SIG_IGN);
     server::Server server(config);
-    server.obey_signals(config::load_from_environment);
+    server.handle_signals(config::load_from_environment);
     log::line("serving", config.name);
-    while (!server.over()) server.turn(kLongestTurn);
+    while (!server.is_stopped()) server.run_iteration(kMaxIterationWait);
     invariant::Counter::report();
     log::line("stopped", config.name);
-    return 0;
+    return EXIT_SUCCESS;
+}
+
+// Throws what serving would throw for this configuration, without opening a socket.
+int check(const config::Config& config) {
+    const decision::Router validated(config.settings.router, config.seed);
+    std::cout << "configuration of " << config.name << " can be served\n";
+    return EXIT_SUCCESS;
+}
+
+int print_version() {
+    std::cout << "sloestack " << SLOESTACK_VERSION << "\n";
+    return EXIT_SUCCESS;
+}
+
+int print_help(const cxxopts::Options& options) {
+    std::cout << options.help() << "\n  serve    run the proxy; EDGE_CONFIG names its configuration\n"
+              << "  check    read the configuration and say whether it can be served\n"
+              << "  version  print the version\n";
+    return EXIT_SUCCESS;
 }
 
 int run(int argc, char** argv) {
@@ -35,26 +56,13 @@
     options.parse_positional({"command"});
     options.positional_help("serve|check|version");
     const auto parsed = options.parse(argc, argv);
+    if (parsed.count("help")) return print_help(options);
     const auto command = parsed.count("command") ? parsed["command"].as<std::string>() : std::string();
-    if (parsed.count("help")) {
-        std::cout << options.help() << "\n  serve    run the proxy; EDGE_CONFIG names its configuration\n"
-                  << "  check    read the configuration and say whether it can be served\n"
-                  << "  version  print the version\n";
-        return 0;
-    }
-    if (command == "version") {
-        std::cout << "sloestack " << SLOESTACK_VERSION << "\n";
-        return 0;
-    }
-    if (command == "check") {
-        const auto config = config::load_from_environment();
-        const sloestack::decision::Router tried(config.settings.router, config.seed);
-        std::cout << "configuration of " << config.name << " can be served\n";
-        return 0;
-    }
+    if (command == "version") return print_version();
+    if (command == "check") return check(config::load_from_environment());
     if (command == "serve") return serve(config::load_from_environment());
     log::line("bad command line", "command: serve, check or version is wanted");
-    return kBadInput;
+    return kExitBadInput;
 }
 
 }  // namespace
@@ -70,7 +78,7 @@
         log::line("bad command line", error.what());
     } catch (const std::exception& error) {
         log::line("cannot go on", error.what());
-        return 1;
+        return kExitFailure;
     }
-    return kBadInput;
+    return kExitBadInput;
 }
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -150,7 +150,7 @@
 }
 
 // ---- the event loop ----
-void Server::turn(Micros at_most) {
+void Server::run_iteration(Micros at_most) {
     if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
     loop_.run_once(at_most);
     dispatch_loop_.run_iteration();
@@ -162,7 +162,7 @@
     loop_.end_turn();
 }
 
-void Server::obey_signals(std::function<config::Config()> load) {
+void Server::handle_signals(std::function<config::Config()> load) {
     for (const int signal : {SIGTERM, SIGINT}) loop_.on_signal(signal, [this] { stop(); });
     loop_.on_signal(SIGHUP, [this, load = std::move(load)] {
         // A file that cannot be used changes nothing: an error in it must not end a proxy that serves.
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -26,12 +26,12 @@
 
     // One iteration of the event loop: waits for an event, `at_most` that long, and handles all that have
     // come.
-    void turn(Micros at_most);
+    void run_iteration(Micros at_most);
     // SIGTERM and SIGINT stop the server; SIGHUP reloads the configuration by `load`.
-    void obey_signals(std::function<config::Config()> load);
+    void handle_signals(std::function<config::Config()> load);
     void stop() { client_listener_->stop(hot_restart_ && hot_restart_->has_successor()); }
     // Whether the server has stopped: all clients have had their responses.
-    bool over() const { return client_listener_->is_stopped(); }
+    bool is_stopped() const { return client_listener_->is_stopped(); }
     // Whether some endpoint is ready and clients are accepted.
     bool ready() const override {
         return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->is_accepting();
--- a/tests/integration/scenario_proxy.cpp
+++ b/tests/integration/scenario_proxy.cpp
@@ -84,7 +84,7 @@
         scratch_folder_ = folder;
     }
     server_ = make_server();
-    server_->obey_signals([this] { return read_config(); });
+    server_->handle_signals([this] { return read_config(); });
 }
 
 ScenarioProxy::~ScenarioProxy() {
@@ -97,8 +97,8 @@
 
 void ScenarioProxy::run_once() {
     constexpr int kLongestWaitUs = 1000;
-    server_->turn(kLongestWaitUs);
-    if (successor_) successor_->turn(kLongestWaitUs);
+    server_->run_iteration(kLongestWaitUs);
+    if (successor_) successor_->run_iteration(kLongestWaitUs);
 }
 
 void ScenarioProxy::start_successor() { successor_ = make_server(); }
--- a/tests/integration/scenario_proxy.h
+++ b/tests/integration/scenario_proxy.h
@@ -24,7 +24,7 @@
     /// Ends the first process at once; its successor takes its place, or a new process where there is none.
     void kill();
     void stop() { server_->stop(); }
-    bool over() const { return server_->over(); }
+    bool over() const { return server_->is_stopped(); }
     /// SIGHUP with another deploy file: `d2`, `same` or `nonsense`.
     void reload(const std::string& file);
 
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -77,7 +77,7 @@
     explicit World(json of = deployment(), int sockets = 256, bool known = true)
         : settings_(std::move(of)), sockets_(sockets), known_(known), server_(config(), clock) {
         std::signal(SIGPIPE, SIG_IGN);  // as the program does
-        server_.obey_signals([this] { return config(); });
+        server_.handle_signals([this] { return config(); });
         for (auto& m : members_) entries_.push_back(entry(m.port, "in_service"));
     }
 
@@ -152,7 +152,7 @@
 
     // ---- going on ----
     void turn() {
-        server_.turn(0);
+        server_.run_iteration(0);
         look();
     }
     void turns(int many = 12) {
@@ -169,10 +169,10 @@
             answer_all();
             serve_discovery();
             turns(3);
-            if (server_.over()) return;
+            if (server_.is_stopped()) return;
         }
     }
-    bool over() const { return server_.over(); }
+    bool over() const { return server_.is_stopped(); }
     std::uint16_t port() const { return server_.port(); }
     // A watch is open that is told of changes as they come.
     bool held_call() const {
