--- a/src/app/server/derived_settings.cpp
+++ b/src/app/server/derived_settings.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "postgres/link.h"
+#include "postgres/postgres_connection.h"
 
 namespace sloestack::server {
 namespace {
@@ -13,14 +13,14 @@
 
 }  // namespace
 
-upstream::PoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings) {
-    upstream::PoolSettings out;
-    out.link = [&loop](const sockaddr_in& to, net::Slot slot, upstream::LinkEvents& events) {
-        return std::make_unique<postgres::Link>(loop, to, std::move(slot),
-                                                postgres::Link::User{kUser, kDatabase}, events);
+upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings) {
+    upstream::ConnectionPoolSettings out;
+    out.connect = [&loop](const sockaddr_in& to, net::Slot slot, upstream::UpstreamConnectionEvents& events) {
+        return std::make_unique<postgres::PostgresConnection>(
+            loop, to, std::move(slot), postgres::PostgresConnection::Credentials{kUser, kDatabase}, events);
     };
     if (settings.connect_timeout_us > 0) out.connect_timeout_us = settings.connect_timeout_us;
-    if (settings.idle_limit_us > 0) out.idle_limit_us = settings.idle_limit_us;
+    if (settings.idle_limit_us > 0) out.idle_timeout_us = settings.idle_limit_us;
     out.removal_is_advisory = settings.router.removal_is_advisory;
     return out;
 }
--- a/src/app/server/derived_settings.h
+++ b/src/app/server/derived_settings.h
@@ -3,14 +3,14 @@
 
 #include <vector>
 
-#include "connection_pool/pool.h"
+#include "connection_pool/connection_pool.h"
 #include "settings/settings.h"
 #include "transport/loop.h"
 
 namespace sloestack::server {
 
 // The loop is not owned and outlives the pool.
-upstream::PoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings);
+upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings);
 // The decision module's settings as they hold on sockets, where a rejection can always carry a Retry-After
 // and endpoint lists are always polled.
 decision::Settings router_settings(decision::Settings settings);
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -65,8 +65,9 @@
       discovery_in_file_(config.discovery_in_file),
       waits_for_discovery_(!config.settings.router.discovery_is_polled) {
     watch_ = make_discovery_watch(config);
-    dispatch_loop_.set_targets({pool_, [this] { watch_->start(); },
-                                [this](auto kind, const auto& entries) { pool_.listed(kind, entries); }});
+    dispatch_loop_.set_targets(
+        {pool_, [this] { watch_->start(); },
+         [this](auto kind, const auto& entries) { pool_.update_endpoints(kind, entries); }});
     client_listener_ = make_client_listener(config);
     if (config.control)
         admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.control,
@@ -117,7 +118,7 @@
     client_bytes_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     large_statement_budget_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
     client_listener_->shrink_to_quota();
-    pool_.fit();
+    pool_.shrink_to_quota();
 }
 
 void Server::on_exclusion_update(const std::string& endpoint, bool excluded) {
@@ -189,7 +190,7 @@
 // Sizes of whatever could grow without bound with ids, names or connections.
 void Server::log_table_sizes() const {
     log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
-                                 std::to_string(pool_.links()) + " links, " +
+                                 std::to_string(pool_.connection_count()) + " links, " +
                                  std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
                                  std::to_string(list_parser_.known_name_count()) + " names, " +
                                  std::to_string(deadlines_.size()) + " deadlines, " +
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -5,7 +5,7 @@
 
 #include "admin_server/admin_server.h"
 #include "config/config.h"
-#include "connection_pool/pool.h"
+#include "connection_pool/connection_pool.h"
 #include "discovery/discovery_watch.h"
 #include "discovery/endpoint_list_parser.h"
 #include "dispatch_loop/dispatch_loop.h"
@@ -80,7 +80,7 @@
     metrics::RequestMetrics metrics_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Exclusions exclusions_{dispatch_loop_};
-    upstream::Pool pool_;
+    upstream::ConnectionPool pool_;
     discovery::EndpointListParser list_parser_;
     discovery::EndpointList known_list_;  // from the configuration; moved out when serving begins
     std::unique_ptr<discovery::DiscoveryWatch> watch_;
