--- a/tests/integration/proxy_harness.cpp
+++ b/tests/integration/proxy_harness.cpp
@@ -80,7 +80,7 @@
       members_known_(members_known),
       server_(read_config(), clock) {
     std::signal(SIGPIPE, SIG_IGN);  // as the program does
-    server_.obey_signals([this] { return read_config(); });
+    server_.handle_signals([this] { return read_config(); });
     for (const auto& member : members_) entries_.push_back(make_entry(member.port(), "in_service"));
 }
 
@@ -248,7 +248,7 @@
 // ---- time ----
 
 void ProxyHarness::run_once() {
-    server_.turn(0);
+    server_.run_iteration(0);
     receive();
 }
 
@@ -262,7 +262,7 @@
         answer_all();
         serve_discovery();
         run(3);
-        if (server_.over()) return;
+        if (server_.is_stopped()) return;
     }
 }
 
