--- a/src/admin/admin_server/admin_connection.cpp
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxUnreadBytes = std::size_t{16} * 1024;
-constexpr Micros kConnectionTimeout = 900'000;  // accepted to the last byte: callers wait 1 s
+constexpr Micros kConnectionTimeoutUs = 900'000;  // accepted to the last byte: callers wait 1 s
 
 const char* reason_phrase(int status) {
     switch (status) {
@@ -40,7 +40,7 @@
                                  AdminConnectionEvents& events)
     : deadlines_(deadlines), id_(id), events_(events) {
     connection_ = net::Connection::accepted(loop, fd, kMaxUnreadBytes, *this);
-    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeout, [this] { on_timeout(); });
+    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeoutUs, [this] { on_timeout(); });
 }
 
 void AdminConnection::respond(const Response& response) {
@@ -83,7 +83,7 @@
 void AdminConnection::on_timeout() {
     if (state_ == State::responded) return finish();
     respond({408, error_json("no whole call in time")});
-    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeout, [this] { finish(); });
+    timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeoutUs, [this] { finish(); });
 }
 
 }  // namespace sloestack::admin
--- a/src/admin/admin_server/admin_server.cpp
+++ b/src/admin/admin_server/admin_server.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMaxConnections = 8;  // their descriptors are not part of the clients' shares
-constexpr Micros kAcceptPause = 20'000;     // while there are no descriptors
+constexpr Micros kAcceptPauseUs = 20'000;   // while there are no descriptors
 
 }  // namespace
 
@@ -30,7 +30,7 @@
                          AdminHandler& handler)
     : loop_(loop), deadlines_(deadlines), handler_(handler) {
     const auto resume_later = [this] {
-        resume_accepting_.set(deadlines_, deadlines_.now() + kAcceptPause, [this] { listener_->resume(); });
+        resume_accepting_.set(deadlines_, deadlines_.now() + kAcceptPauseUs, [this] { listener_->resume(); });
     };
     listener_ = std::make_unique<net::Listener>(
         loop_, address, [this](evutil_socket_t fd) { on_accepted(fd); }, resume_later);
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -5,7 +5,7 @@
 
 #include "admin_server/admin_server.h"
 #include "config/config.h"
-#include "connection_pool/pool.h"
+#include "connection_pool/connection_pool.h"
 #include "discovery/discovery_watch.h"
 #include "discovery/endpoint_list_parser.h"
 #include "dispatch_loop/dispatch_loop.h"
@@ -20,7 +20,7 @@
 
 class Server final : private admin::AdminHandler, private hot_restart::HotRestartHandler {
 public:
-    // Throws config::BadConfig, or std::runtime_error where the address cannot be listened on. The clock
+    // Throws config::ConfigError, or std::runtime_error where the address cannot be listened on. The clock
     // outlives it.
     explicit Server(const config::Config& config, const Clock& clock = system_clock());
 
@@ -65,10 +65,10 @@
     net::Quota clients_, overflow_, lingering_, members_;
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
     net::Room room_;            // for large statements
-    metrics::Numbers numbers_;
+    metrics::RequestMetrics numbers_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Exclusions exclusions_{dispatch_loop_};
-    upstream::Pool pool_;
+    upstream::ConnectionPool pool_;
     discovery::EndpointListParser lists_;
     discovery::EndpointList known_;  // until it begins
     std::unique_ptr<discovery::DiscoveryWatch> watch_;
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -31,7 +31,7 @@
 
 ClientListener::ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas,
                                net::ByteAccount& account, net::Room& large_statement_budget,
-                               metrics::Numbers& metrics, const ListenEndpoint& listen_endpoint,
+                               metrics::RequestMetrics& metrics, const ListenEndpoint& listen_endpoint,
                                traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
                                std::vector<bool> class_may_overlap, bool uses_session_tokens,
                                Micros longest_wait, std::uint64_t seed)
--- a/src/downstream/sessions/response_writer.cpp
+++ b/src/downstream/sessions/response_writer.cpp
@@ -7,7 +7,7 @@
 namespace sloestack::downstream {
 namespace {
 
-using metrics::Numbers;
+using metrics::ResponseKind;
 
 // Of a streamed response, beyond what the client's kernel has taken.
 constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
@@ -31,7 +31,7 @@
 void ResponseWriter::cancel_first() {
     auto& first = *queries_.front();
     cancel_request(first);
-    context_.metrics.answered(first.request_class, Numbers::errors);
+    context_.metrics.count_response(first.request_class, ResponseKind::failed);
     complete(first, error_response(pgwire::code::kQueryCanceled, "canceled at the client's request"));
 }
 
@@ -41,7 +41,7 @@
         auto bytes = take_held(*query);
         if (query->request) {
             cancel_request(*query);
-            context_.metrics.answered(query->request_class, Numbers::errors);
+            context_.metrics.count_response(query->request_class, ResponseKind::failed);
             bytes = error_response(pgwire::code::kAdminShutdown, "the proxy is stopping");
         }
         if (!response_is_incomplete) connection_->write(bytes);
@@ -57,7 +57,7 @@
 }
 
 void ResponseWriter::on_value(Query& query, const traffic::ResultValue& value) {
-    context_.metrics.answered(query.request_class, Numbers::ok);
+    context_.metrics.count_response(query.request_class, ResponseKind::served);
     complete(query, value_response(value));
 }
 
@@ -82,7 +82,7 @@
 }
 
 void ResponseWriter::on_value_completed(Query& query, const std::string& command_tag) {
-    context_.metrics.answered(query.request_class, Numbers::ok);
+    context_.metrics.count_response(query.request_class, ResponseKind::served);
     complete(query, value_response_end(command_tag));
 }
 
@@ -92,18 +92,18 @@
         take_held(query);
         return on_failed(query);
     }
-    context_.metrics.answered(query.request_class, Numbers::errors);
+    context_.metrics.count_response(query.request_class, ResponseKind::failed);
     release(query);
     owner_.response_incomplete();
 }
 
 void ResponseWriter::on_rejected(Query& query, Micros retry_after) {
-    context_.metrics.answered(query.request_class, Numbers::shed);
+    context_.metrics.count_response(query.request_class, ResponseKind::rejected);
     complete(query, rejection_response(retry_after));
 }
 
 void ResponseWriter::on_failed(Query& query) {
-    context_.metrics.answered(query.request_class, Numbers::errors);
+    context_.metrics.count_response(query.request_class, ResponseKind::failed);
     complete(query, error_response(pgwire::code::kSystemError, "no member has answered in time"));
 }
 
--- a/src/state/hot_restart/hot_restart.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -11,9 +11,9 @@
 
 using Role = PeerConnection::Role;
 
-constexpr Micros kHandshakeTimeout = 2'500'000;  // the platform waits 6 s for a new process to become ready
-constexpr Micros kMaxShrinkTime = 1'000'000;     // for the requests in flight that exceed the share to end
-constexpr Micros kShareCheckInterval = 10'000;
+constexpr Micros kHandshakeTimeoutUs = 2'500'000;  // the platform waits 6 s for a new process to become ready
+constexpr Micros kMaxShrinkTimeUs = 1'000'000;     // for the requests in flight that exceed the share to end
+constexpr Micros kShareCheckIntervalUs = 10'000;
 
 const char* log_subject(Role role) { return role == Role::successor ? "successor" : "predecessor"; }
 
@@ -36,7 +36,7 @@
     peers_.push_back(std::move(predecessor));
     report_process_count();
     // A predecessor that hangs must not keep the new process from serving.
-    handshake_timeout_.set(deadlines_, deadlines_.now() + kHandshakeTimeout, [this] {
+    handshake_timeout_.set(deadlines_, deadlines_.now() + kHandshakeTimeoutUs, [this] {
         log::line("predecessor", "handshake timed out");
         start_serving();
     });
@@ -111,9 +111,9 @@
 
 // The successor may count on its share of the limits once this process keeps within its own.
 void HotRestart::complete_handshake_within_share(PeerConnection& successor) {
-    const bool overdue = deadlines_.now() - successor.joined_at() > kMaxShrinkTime;
+    const bool overdue = deadlines_.now() - successor.joined_at() > kMaxShrinkTimeUs;
     if (handler_.is_within_share() || overdue) return successor.send(HandshakeComplete{});
-    successor.handshake_retry().set(deadlines_, deadlines_.now() + kShareCheckInterval,
+    successor.handshake_retry().set(deadlines_, deadlines_.now() + kShareCheckIntervalUs,
                                     [this, &successor] { complete_handshake_within_share(successor); });
 }
 
--- a/tests/integration/proxy_harness.cpp
+++ b/tests/integration/proxy_harness.cpp
@@ -242,7 +242,7 @@
                        {"limits", {{"sockets", descriptors_}, {"memory_mb", 64}}},
                        {"known", known},
                        {"settings", settings_}};
-    return sloestack::config::read(file, [](const char*) { return nullptr; });
+    return sloestack::config::parse(file, [](const char*) { return nullptr; });
 }
 
 // ---- time ----
--- a/tests/integration/scenario_proxy.cpp
+++ b/tests/integration/scenario_proxy.cpp
@@ -122,7 +122,7 @@
     const auto at_start = deploy_file_.at("at_start").get<std::string>();
     // Each process has a descriptor of its own of the inherited socket.
     const auto socket = inherited_socket_ < 0 ? std::string() : std::to_string(dup(inherited_socket_));
-    return sloestack::config::read(deploy_file_, [&](const char* name) -> const char* {
+    return sloestack::config::parse(deploy_file_, [&](const char* name) -> const char* {
         const std::string_view variable = name;
         if (variable == "EDGE_DISCOVERY") return at_start.c_str();
         if (inherited_socket_ < 0) return nullptr;
