--- a/tests/check.h
+++ b/tests/check.h
@@ -1,4 +1,5 @@
-// A check of the test environment itself (sockets, folders) that ends the process; assert does nothing under NDEBUG.
+// A check of the test environment itself (sockets, folders) that ends the process; assert does nothing under
+// NDEBUG.
 #pragma once
 
 #include <cstdio>
