--- a/tests/integration/concurrent_events_test.cpp
+++ b/tests/integration/concurrent_events_test.cpp
@@ -238,7 +238,7 @@
     }
     if (test_case.has(Event::sigterm)) {
         proxy.run_for(kKillTimeout - kRequestDeadline - 2 * kDisconnectTolerance);
-        EXPECT_TRUE(proxy.over()) << "the process has not ended before it is killed";
+        EXPECT_TRUE(proxy.is_stopped()) << "the process has not ended before it is killed";
     }
     const auto attempts = attempts_of(proxy);
     check_answers(proxy, test_case, attempts);
--- a/tests/integration/proxy_harness.h
+++ b/tests/integration/proxy_harness.h
@@ -100,7 +100,7 @@
     void receive();
 
     // ---- observations ----
-    bool is_stopped() const { return server_.over(); }
+    bool is_stopped() const { return server_.is_stopped(); }
     std::uint16_t port() const { return server_.port(); }
     /// Complete answers that the client has received.
     int answer_count();
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -14,11 +14,11 @@
 
 // Runs until the platform would kill the process, and checks that it has ended by then.
 void run_until_killed(ProxyHarness& proxy) {
-    for (Micros passed = 0; passed < kKillTimeout && !proxy.over(); passed += 10'000) {
+    for (Micros passed = 0; passed < kKillTimeout && !proxy.is_stopped(); passed += 10'000) {
         proxy.run(3);
         proxy.clock.advance(10'000);
     }
-    EXPECT_TRUE(proxy.over());
+    EXPECT_TRUE(proxy.is_stopped());
 }
 
 TEST(Shutdown, BeforeTheFirstListEndsAtOnce) {
@@ -75,7 +75,7 @@
     proxy.establish_long_poll();
     proxy.connect();
     raise(SIGTERM);
-    for (Micros passed = 0; passed < kKillTimeout && !proxy.over(); passed += 10'000) {
+    for (Micros passed = 0; passed < kKillTimeout && !proxy.is_stopped(); passed += 10'000) {
         if (!proxy.client.ended && proxy.answer_count() == proxy.request_count)
             proxy.send_request("keyed_write");
         proxy.run(4);
@@ -83,7 +83,7 @@
         proxy.run(4);
         proxy.clock.advance(10'000);
     }
-    EXPECT_TRUE(proxy.over());
+    EXPECT_TRUE(proxy.is_stopped());
     EXPECT_GT(proxy.answer_count(), 50);
     for (const auto& query : proxy.queries)
         EXPECT_LE(std::stoi(query.id.substr(1)), proxy.answer_count()) << query.id;
@@ -115,7 +115,7 @@
     last.read();
     EXPECT_NE(last.received.find("53300"), std::string::npos) << "it is rejected with a Retry-After";
     proxy.run_for(kKillTimeout);
-    EXPECT_TRUE(proxy.over());
+    EXPECT_TRUE(proxy.is_stopped());
 }
 
 }  // namespace
