--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -23,7 +23,8 @@
 
 upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& s) {
     upstream::ConnectionPoolSettings out;
-    out.connect = [&loop](const sockaddr_in& to, net::Slot slot, upstream::UpstreamConnectionEvents& events) {
+    out.connect = [&loop](const sockaddr_in& to, net::DescriptorSlot slot,
+                          upstream::UpstreamConnectionEvents& events) {
         return std::make_unique<postgres::PostgresConnection>(
             loop, to, std::move(slot), postgres::PostgresConnection::Credentials{kUser, kDatabase}, events);
     };
@@ -92,12 +93,12 @@
     : deadlines_(clock),
       sockets_(config.sockets),
       memory_mb_(config.memory_mb),
-      clients_(net::share(config.sockets).clients),
-      overflow_(net::share(config.sockets).overflow),
-      lingering_(net::share(config.sockets).lingering),
-      members_(net::share(config.sockets).members),
-      account_(net::bytes_for_clients(config.memory_mb)),
-      room_(net::bytes_for_clients(config.memory_mb)),
+      clients_(net::divide_descriptors(config.sockets).clients),
+      overflow_(net::divide_descriptors(config.sockets).overflow),
+      lingering_(net::divide_descriptors(config.sockets).lingering),
+      members_(net::divide_descriptors(config.sockets).upstream),
+      account_(net::client_memory_limit_bytes(config.memory_mb)),
+      large_statement_budget_(net::client_memory_limit_bytes(config.memory_mb)),
       numbers_(config.settings.class_names),
       dispatch_loop_(deadlines_, module_settings(config.settings.router), config.seed, numbers_),
       pool_(loop_, deadlines_, members_, pool_settings(loop_, config.settings), dispatch_loop_, numbers_),
@@ -113,8 +114,8 @@
          [this](auto kind, const auto& entries) { pool_.update_endpoints(kind, entries); }});
     client_listener_ = std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, downstream::ClientListener::Quotas{clients_, overflow_, lingering_}, account_,
-        room_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket}, dispatch_loop_,
-        config.settings.class_names, overlapping(config.settings.router),
+        large_statement_budget_, numbers_, downstream::ListenEndpoint{config.listen, config.passed_socket},
+        dispatch_loop_, config.settings.class_names, overlapping(config.settings.router),
         sessions_named(config.settings.router), longest_wait(config.settings.router), config.seed);
     if (config.control)
         control_ = std::make_unique<admin::Door>(loop_, deadlines_, *config.control,
@@ -139,13 +140,14 @@
 }
 
 void Server::shared_by(int processes) {
-    const auto shares = net::share(sockets_ / processes);
-    clients_.allow(shares.clients);
-    overflow_.allow(shares.overflow);
-    lingering_.allow(shares.lingering);
-    members_.allow(shares.members);
-    account_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
-    room_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
+    const auto shares = net::divide_descriptors(sockets_ / processes);
+    clients_.set_limit(shares.clients);
+    overflow_.set_limit(shares.overflow);
+    lingering_.set_limit(shares.lingering);
+    members_.set_limit(shares.upstream);
+    account_.set_limit(net::client_memory_limit_bytes(memory_mb_) / static_cast<std::size_t>(processes));
+    large_statement_budget_.set_limit(net::client_memory_limit_bytes(memory_mb_) /
+                                      static_cast<std::size_t>(processes));
     client_listener_->shrink_to_quota();
     pool_.shrink_to_quota();
 }
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -13,8 +13,9 @@
 #include "hot_restart/hot_restart.h"
 #include "metrics/metrics.h"
 #include "sessions/client_listener.h"
+#include "transport/descriptor_quota.h"
 #include "transport/loop.h"
-#include "transport/quota.h"
+#include "transport/memory_budget.h"
 
 namespace sloestack::server {
 
@@ -53,16 +54,16 @@
     const std::set<std::string>& banned() const override { return bans_.names(); }
     void heard(bool out, const std::string& member) override;
     void shared_by(int processes) override;
-    bool fits() const override { return !clients_.over() && !members_.over(); }
+    bool fits() const override { return !clients_.is_exceeded() && !members_.is_exceeded(); }
     void begin() override;
 
     net::Loop loop_;
     Deadlines deadlines_;
     int sockets_;
     std::int64_t memory_mb_;
-    net::Quota clients_, overflow_, lingering_, members_;
+    net::DescriptorQuota clients_, overflow_, lingering_, members_;
     net::ByteAccount account_;  // of what clients have sent and not had answered, or been sent and not taken
-    net::Room room_;            // for large statements
+    net::MemoryBudget large_statement_budget_;  // for large statements
     metrics::Numbers numbers_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Bans bans_{dispatch_loop_};
--- a/src/downstream/sessions/client_framer.cpp
+++ b/src/downstream/sessions/client_framer.cpp
@@ -62,7 +62,7 @@
 }
 
 bool ClientFramer::reserve_large_statement(std::size_t size) {
-    reserved_ = budget_.take(size, this);
+    reserved_ = budget_.reserve(size, this);
     waits_for_memory_ = !reserved_;
     return reserved_ != nullptr;
 }
@@ -89,7 +89,7 @@
 }
 
 void ClientFramer::stop() {
-    budget_.leave(this);
+    budget_.stop_waiting(this);
     large_.reset();
 }
 
--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -11,6 +11,7 @@
 #include "pgwire/frame.h"
 #include "sessions/arrival_times.h"
 #include "transport/connection.h"
+#include "transport/memory_budget.h"
 
 namespace sloestack::downstream {
 
@@ -30,7 +31,8 @@
 public:
     // `connection` may be null where it could not be opened; then nothing but the destructor may be called.
     // The framer makes no call on it unless asked to. `budget` outlives the framer.
-    ClientFramer(net::Connection* connection, net::Room& budget) : connection_(connection), budget_(budget) {}
+    ClientFramer(net::Connection* connection, net::MemoryBudget& budget)
+        : connection_(connection), budget_(budget) {}
     ~ClientFramer() { stop(); }
     ClientFramer(const ClientFramer&) = delete;
     ClientFramer& operator=(const ClientFramer&) = delete;
@@ -74,7 +76,7 @@
     };
 
     net::Connection* connection_;
-    net::Room& budget_;
+    net::MemoryBudget& budget_;
     ArrivalTimes arrivals_;
     Time last_read_at_ = 0;
     std::shared_ptr<void> reserved_;
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 ClientListener::ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas,
-                               net::ByteAccount& account, net::Room& large_statement_budget,
+                               net::ByteAccount& account, net::MemoryBudget& large_statement_budget,
                                metrics::Numbers& metrics, const ListenEndpoint& listen_endpoint,
                                traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
                                std::vector<bool> class_may_overlap, bool uses_session_tokens,
@@ -74,7 +74,7 @@
         return session->has_sent_query() && session->is_idle();
     });
     for_each_session([&](ClientSession& session) {
-        if (idle_count * kIdleQuotaDivisor <= client_quota_.most()) return false;
+        if (idle_count * kIdleQuotaDivisor <= client_quota_.limit()) return false;
         const bool is_long_idle = session.has_sent_query() &&
                                   session.last_active_at() <= now - kCrowdedIdleTimeout && session.is_idle();
         if (is_long_idle) {
@@ -100,16 +100,16 @@
 
 void ClientListener::on_accepted(evutil_socket_t fd) {
     last_accepted_at_ = deadlines_.now();
-    auto slot = client_quota_.take();
-    if (!slot && close_one_idle_session()) slot = client_quota_.take();
+    auto slot = client_quota_.acquire();
+    if (!slot && close_one_idle_session()) slot = client_quota_.acquire();
     const bool reject_requests = !slot;
-    if (reject_requests) slot = overflow_quota_.take();
+    if (reject_requests) slot = overflow_quota_.acquire();
     auto session = std::make_unique<ClientSession>(context_, static_cast<ClientSessionOwner&>(*this), fd,
                                                    std::move(slot), reject_requests);
     if (!session->is_open()) return;
     const auto* key = session.get();
     positions_[key] = sessions_.insert(sessions_.end(), std::move(session));
-    if (client_quota_.full() && overflow_quota_.full()) pause_accepting();
+    if (client_quota_.is_full() && overflow_quota_.is_full()) pause_accepting();
 }
 
 // No descriptor is left: new clients wait in the kernel's queue.
@@ -122,7 +122,7 @@
     if (!listener_) return;
     listener_->pause();
     resume_accepting_.set(deadlines_, now + kAcceptRetryDelay, [this] {
-        if (client_quota_.full() && overflow_quota_.full()) return pause_accepting();
+        if (client_quota_.is_full() && overflow_quota_.is_full()) return pause_accepting();
         if (listener_) listener_->resume();
     });
 }
@@ -130,7 +130,7 @@
 // A client that has sent no query goes first, then the one idle for longest: clients that connect by the
 // hundreds and send nothing must not keep others out.
 bool ClientListener::close_one_idle_session() {
-    if (lingering_quota_.full() && !release_lingering_slot()) return false;
+    if (lingering_quota_.is_full() && !release_lingering_slot()) return false;
     for (const auto may_close : {&ClientSession::is_idle_before_first_query, &ClientSession::is_idle}) {
         for (auto& session : sessions_) {
             if ((session.get()->*may_close)()) {
@@ -152,7 +152,7 @@
 }
 
 void ClientListener::shrink_to_quota() {
-    int excess = client_quota_.taken() - client_quota_.most();
+    int excess = client_quota_.in_use() - client_quota_.limit();
     for_each_session([&](ClientSession& session) {
         if (excess <= 0) return false;
         if (session.is_idle()) {
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "sessions/client_session.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
 
 namespace sloestack::downstream {
 
@@ -22,15 +22,15 @@
 public:
     // The shares of the process's descriptors that clients' connections have, by their state.
     struct Quotas {
-        net::Quota& clients;    // served
-        net::Quota& overflow;   // only told to retry later
-        net::Quota& lingering;  // in a lingering close
+        net::DescriptorQuota& clients;    // served
+        net::DescriptorQuota& overflow;   // only told to retry later
+        net::DescriptorQuota& lingering;  // in a lingering close
     };
     // `class_may_overlap` has an element for each of `class_names`. `longest_wait`, of any client for a
     // response, bounds how long a stop takes. `seed` is for the keys that clients cancel by. All references
     // outlive the listener.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
-                   net::Room& large_statement_budget, metrics::Numbers& metrics,
+                   net::MemoryBudget& large_statement_budget, metrics::Numbers& metrics,
                    const ListenEndpoint& listen_endpoint, traffic::RequestDispatcher& dispatcher,
                    std::vector<std::string> class_names, std::vector<bool> class_may_overlap,
                    bool uses_session_tokens, Micros longest_wait, std::uint64_t seed);
@@ -68,9 +68,9 @@
 
     net::Loop& loop_;
     Deadlines& deadlines_;
-    net::Quota& client_quota_;
-    net::Quota& overflow_quota_;
-    net::Quota& lingering_quota_;
+    net::DescriptorQuota& client_quota_;
+    net::DescriptorQuota& overflow_quota_;
+    net::DescriptorQuota& lingering_quota_;
     ListenEndpoint listen_endpoint_;
     SessionContext context_;
     Sessions sessions_;  // the one used last at the back
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 ClientSession::ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd,
-                             net::Slot slot, bool reject_requests)
+                             net::DescriptorSlot slot, bool reject_requests)
     : context_(context),
       owner_(owner),
       slot_(std::move(slot)),
@@ -59,7 +59,7 @@
     framer_.bytes_received(context_.deadlines.now());
     read_messages();
     if (input_is_paused()) disconnect_detector_.input_paused();
-    if (state_ == State::open && responses_.empty() && context_.account.over() &&
+    if (state_ == State::open && responses_.empty() && context_.account.is_exceeded() &&
         connection_->held() > kUnreadBytesUnderPressure)
         fail_session(pgwire::code::kOutOfMemory, "too much is waiting to be read");
 }
@@ -145,7 +145,7 @@
 // Only reads may overlap with reads; anything else, and what is malformed, waits for its turn.
 bool ClientSession::next_query_may_overlap() const {
     if (framer_.in_large_statement() || skip_to_sync_) return false;
-    if (responses_.size() >= kMaxOpenQueries || context_.account.over()) return false;
+    if (responses_.size() >= kMaxOpenQueries || context_.account.is_exceeded()) return false;
     // All before the last one have passed the same check.
     if (!statements_.may_overlap(responses_.last_request_class())) return false;
     try {
@@ -166,7 +166,7 @@
     disconnect_detector_.stop();
     connection_->bound_unread(kMaxUnreadBytes);
     // Between requests only: a query may have been sent right behind the one just answered.
-    const bool should_close = context_.close_after_response || context_.client_quota.over();
+    const bool should_close = context_.close_after_response || context_.client_quota.is_exceeded();
     if (should_close && is_between_requests()) return finish();
     read_messages();
 }
@@ -229,7 +229,7 @@
     framer_.stop();
     disconnect_detector_.stop();
     resume_reading_.clear();
-    if (auto slot = context_.lingering_quota.take()) slot_ = std::move(slot);
+    if (auto slot = context_.lingering_quota.acquire()) slot_ = std::move(slot);
     connection_->consume(connection_->held());
     connection_->bound_unread(kMaxUnreadBytes);
     if (connection_->unwritten() == 0) return linger();
@@ -263,7 +263,7 @@
     disconnect_detector_.stop();
     resume_reading_.clear();
     connection_.reset();
-    slot_ = net::Slot();
+    slot_ = net::DescriptorSlot();
     owner_.session_closed(*this);
 }
 
--- a/src/downstream/sessions/client_session.h
+++ b/src/downstream/sessions/client_session.h
@@ -33,8 +33,8 @@
 public:
     // Takes over the socket `fd`, for which `slot` stands. Where `reject_requests`, each request is rejected
     // and the session then closed. `context` and `owner` outlive the session.
-    ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd, net::Slot slot,
-                  bool reject_requests);
+    ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd,
+                  net::DescriptorSlot slot, bool reject_requests);
     ~ClientSession();
     ClientSession(const ClientSession&) = delete;
     ClientSession& operator=(const ClientSession&) = delete;
@@ -108,7 +108,7 @@
 
     SessionContext& context_;
     ClientSessionOwner& owner_;
-    net::Slot slot_;
+    net::DescriptorSlot slot_;
     const bool reject_requests_;
     State state_ = State::startup;
     bool skip_to_sync_ = false;  // after an error in the extended query protocol
--- a/src/downstream/sessions/response_writer.cpp
+++ b/src/downstream/sessions/response_writer.cpp
@@ -76,7 +76,7 @@
 void ResponseWriter::on_value_chunk(Query& query, std::string_view bytes) {
     if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
     connection_->write(bytes);
-    const std::size_t window = context_.account.over() ? 0 : kStreamWindowBytes;
+    const std::size_t window = context_.account.is_exceeded() ? 0 : kStreamWindowBytes;
     if (connection_->unwritten() > window) query.source->set_paused(true);
     owner_.response_progressed();
 }
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -11,7 +11,8 @@
 #include "sessions/cancel_keys.h"
 #include "traffic/request.h"
 #include "transport/connection.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
+#include "transport/memory_budget.h"
 
 namespace sloestack::downstream {
 
@@ -19,10 +20,10 @@
     net::Loop& loop;
     Deadlines& deadlines;
     traffic::RequestDispatcher& dispatcher;
-    net::ByteAccount& account;          // bytes held for all clients
-    net::Room& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
-    const net::Quota& client_quota;     // descriptors of serving connections
-    net::Quota& lingering_quota;        // descriptors of connections in a lingering close
+    net::ByteAccount& account;                  // bytes held for all clients
+    net::MemoryBudget& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
+    const net::DescriptorQuota& client_quota;   // descriptors of serving connections
+    net::DescriptorQuota& lingering_quota;      // descriptors of connections in a lingering close
     metrics::Numbers& metrics;
     std::vector<std::string> class_names;
     // By request class: idempotent reads, which may run beside other such queries of their connection.
--- a/src/upstream/connection_pool/connection_pool.cpp
+++ b/src/upstream/connection_pool/connection_pool.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ConnectionPool::ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota,
+ConnectionPool::ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::DescriptorQuota& quota,
                                ConnectionPoolSettings settings, traffic::AttemptListener& listener,
                                metrics::Numbers& metrics)
     : loop_(loop),
@@ -148,8 +148,8 @@
 
 // ---- Connections ----
 bool ConnectionPool::open_connection(EndpointConnections& endpoint) {
-    auto slot = quota_.take();
-    if (!slot && close_one_idle_connection()) slot = quota_.take();
+    auto slot = quota_.acquire();
+    if (!slot && close_one_idle_connection()) slot = quota_.acquire();
     if (!slot) return false;
     auto opened =
         settings_.connect(*endpoint.address, std::move(slot), static_cast<UpstreamConnectionEvents&>(*this));
@@ -168,7 +168,7 @@
 
 void ConnectionPool::shrink_to_quota() {
     bool has_closed = true;
-    while (quota_.over() && has_closed) has_closed = close_one_idle_connection();
+    while (quota_.is_exceeded() && has_closed) has_closed = close_one_idle_connection();
 }
 
 // Closes the one idle for longest at the endpoint that has the most idle connections.
@@ -216,7 +216,7 @@
 }
 
 void ConnectionPool::make_idle(EndpointConnections& endpoint, UpstreamConnection& connection) {
-    if ((endpoint.is_draining || quota_.over()) && endpoint.waiting.empty()) return close(connection);
+    if ((endpoint.is_draining || quota_.is_exceeded()) && endpoint.waiting.empty()) return close(connection);
     if (connections_.at(&connection).is_outdated) {
         close(connection);
         return serve_waiting(endpoint);
--- a/src/upstream/connection_pool/connection_pool.h
+++ b/src/upstream/connection_pool/connection_pool.h
@@ -14,7 +14,7 @@
 #include "metrics/metrics.h"
 #include "traffic/attempt.h"
 #include "traffic/endpoint_list.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
 
 namespace sloestack::upstream {
 
@@ -28,8 +28,9 @@
 class ConnectionPool final : public traffic::AttemptSender, private UpstreamConnectionEvents {
 public:
     // All references outlive the pool. `quota` is of descriptors.
-    ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::Quota& quota, ConnectionPoolSettings settings,
-                   traffic::AttemptListener& listener, metrics::Numbers& metrics);
+    ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::DescriptorQuota& quota,
+                   ConnectionPoolSettings settings, traffic::AttemptListener& listener,
+                   metrics::Numbers& metrics);
     ~ConnectionPool() override;
 
     // Applies what discovery reports. An attempt that waits for a connection to an endpoint that drains ends
@@ -81,7 +82,7 @@
 
     net::Loop& loop_;
     Deadlines& deadlines_;
-    net::Quota& quota_;
+    net::DescriptorQuota& quota_;
     ConnectionPoolSettings settings_;
     traffic::AttemptListener& listener_;
     metrics::Numbers& metrics_;
--- a/src/upstream/connection_pool/upstream_connection.h
+++ b/src/upstream/connection_pool/upstream_connection.h
@@ -12,7 +12,7 @@
 #include "traffic/response.h"
 #include "traffic/statement.h"
 #include "transport/connection.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
 
 namespace sloestack::upstream {
 
@@ -73,6 +73,6 @@
 
 // Begins to connect to an endpoint. `events` outlives the connection.
 using ConnectionFactory = std::function<std::unique_ptr<UpstreamConnection>(
-    const sockaddr_in& address, net::Slot slot, UpstreamConnectionEvents& events)>;
+    const sockaddr_in& address, net::DescriptorSlot slot, UpstreamConnectionEvents& events)>;
 
 }  // namespace sloestack::upstream
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-PostgresConnection::PostgresConnection(net::Loop& loop, const sockaddr_in& address, net::Slot slot,
+PostgresConnection::PostgresConnection(net::Loop& loop, const sockaddr_in& address, net::DescriptorSlot slot,
                                        const Credentials& credentials,
                                        upstream::UpstreamConnectionEvents& events)
     : credentials_(credentials), events_(events), slot_(std::move(slot)) {
@@ -201,7 +201,7 @@
     value_bytes_left_ = 0;
     timeout.clear();
     connection_.reset();
-    slot_ = net::Slot();
+    slot_ = net::DescriptorSlot();
 }
 
 }  // namespace sloestack::postgres
--- a/src/upstream/postgres/postgres_connection.h
+++ b/src/upstream/postgres/postgres_connection.h
@@ -7,7 +7,7 @@
 #include "connection_pool/upstream_connection.h"
 #include "postgres/reply_parser.h"
 #include "transport/connection.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
 
 namespace sloestack::postgres {
 
@@ -18,7 +18,7 @@
         std::string database;
     };
     // Begins to connect. `slot` is the descriptor's share of its quota; `events` outlives the connection.
-    PostgresConnection(net::Loop& loop, const sockaddr_in& address, net::Slot slot,
+    PostgresConnection(net::Loop& loop, const sockaddr_in& address, net::DescriptorSlot slot,
                        const Credentials& credentials, upstream::UpstreamConnectionEvents& events);
 
     bool is_open() const override { return connection_ != nullptr; }
@@ -60,7 +60,7 @@
 
     Credentials credentials_;
     upstream::UpstreamConnectionEvents& events_;
-    net::Slot slot_;
+    net::DescriptorSlot slot_;
     State state_ = State::connecting;
     ReplyParser reply_;
     bool reply_has_begun_ = false;
--- a/tests/net/stages_test.cpp
+++ b/tests/net/stages_test.cpp
@@ -88,7 +88,7 @@
     World w(deployment(), 64);
     w.open_watch();
     const auto startup = text([](auto& b) { b.startup("u", "d"); });
-    const auto shares = net::share(64);
+    const auto shares = net::divide_descriptors(64);
     std::vector<Peer> busy;
     for (int i = 0; i < shares.clients + shares.overflow; ++i) {
         busy.push_back(connect_to(w.port()));
@@ -167,9 +167,9 @@
 // Whatever the number of descriptors, their shares and the process's own fit into them.
 TEST(Descriptors, SharesNeverExceedThem) {
     for (int all = 64; all < 5000; ++all) {
-        const auto shares = net::share(all);
-        EXPECT_LE(shares.all() + 16, all);
-        EXPECT_GE(std::min({shares.clients, shares.members, shares.overflow, shares.lingering}), 8) << all;
+        const auto shares = net::divide_descriptors(all);
+        EXPECT_LE(shares.total() + 16, all);
+        EXPECT_GE(std::min({shares.clients, shares.upstream, shares.overflow, shares.lingering}), 8) << all;
     }
 }
 
