--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -206,10 +206,6 @@
 };
 constexpr std::size_t kRejectionReasonCount = static_cast<std::size_t>(RejectionReason::repeated_error) + 1;
 
-// The names in the operators' metrics.
-const char* metric_name(Outcome outcome);
-const char* metric_name(RejectionReason reason);
-
 // Answer the client that nothing has run.
 struct Reject {
     RequestId request = 0;
--- a/src/decision/interface.cpp
+++ b/src/decision/interface.cpp
@@ -1,4 +1,4 @@
-// The parts of the interface that decide nothing: the validation of settings and the names in the metrics.
+// Validation of settings.
 #include <stdexcept>
 
 #include "sloestack/router.h"
@@ -24,17 +24,4 @@
     require(min_ratio > 0 && min_ratio <= 1, "cold-share");
 }
 
-const char* metric_name(Outcome outcome) {
-    static constexpr const char* kNames[kOutcomeCount] = {
-        "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"};
-    return kNames[static_cast<std::size_t>(outcome)];
-}
-const char* metric_name(RejectionReason reason) {
-    static constexpr const char* kNames[kRejectionReasonCount] = {
-        "unknown_class",  "throttled",    "not_admitted", "no_primary",     "no_member",
-        "avoided",        "cold",         "no_room",      "not_new_enough", "out_of_time",
-        "may_not_repeat", "retry_budget", "failing"};
-    return kNames[static_cast<std::size_t>(reason)];
-}
-
 }  // namespace sloestack::decision
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -71,7 +71,8 @@
     auto& statement = std::get<ParsedStatement>(result);
     // An endpoint that drops repeats cannot tell two requests of one name apart.
     if (!context_.open_request_ids.emplace(statement.id).second) {
-        context_.metrics.answered(statement.request.arrival.request_class, metrics::Numbers::errors);
+        context_.metrics.count_response(statement.request.arrival.request_class,
+                                        metrics::ResponseKind::failed);
         return respond_with_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
     }
     connection_->bound_unread(kMaxUnreadBehindRequestBytes);
@@ -84,18 +85,19 @@
         case StatementError::Kind::unknown_class:
             return respond_with_error(pgwire::code::kInvalidParameter, error.message);
         case StatementError::Kind::unknown_replica_group:
-            context_.metrics.answered(error.request_class, metrics::Numbers::shed);
+            context_.metrics.count_response(error.request_class, metrics::ResponseKind::rejected);
             return responses_.respond(error_response(
                 pgwire::code::kCannotConnectNow, "no member of this cluster is known", kRetryAfterWhenBusy));
         case StatementError::Kind::deadline_exceeded:
-            context_.metrics.given_up(error.request_class, decision::RejectionReason::deadline_exceeded);
+            context_.metrics.count_unserved(error.request_class,
+                                            decision::RejectionReason::deadline_exceeded);
             return reject_request(error.request_class, 0);
     }
 }
 
 // A rejection that waits behind open reads counts as one of its class, so that reads behind it may overlap.
 void ClientSession::reject_request(int request_class, Micros retry_after) {
-    context_.metrics.answered(request_class, metrics::Numbers::shed);
+    context_.metrics.count_response(request_class, metrics::ResponseKind::rejected);
     responses_.respond(rejection_response(retry_after), request_class);
 }
 
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -24,7 +24,7 @@
     net::MemoryBudget& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
     const net::DescriptorQuota& client_quota;   // descriptors of serving connections
     net::DescriptorQuota& lingering_quota;      // descriptors of connections in a lingering close
-    metrics::Numbers& metrics;
+    metrics::RequestMetrics& metrics;
     std::vector<std::string> class_names;
     // By request class: idempotent reads, which may run beside other such queries of their connection.
     std::vector<bool> class_may_overlap;
--- a/src/upstream/connection_pool/connection_pool.cpp
+++ b/src/upstream/connection_pool/connection_pool.cpp
@@ -17,7 +17,7 @@
 
 ConnectionPool::ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::DescriptorQuota& quota,
                                ConnectionPoolSettings settings, traffic::AttemptListener& listener,
-                               metrics::Numbers& metrics)
+                               metrics::RequestMetrics& metrics)
     : loop_(loop),
       deadlines_(deadlines),
       quota_(quota),
--- a/src/upstream/connection_pool/connection_pool.h
+++ b/src/upstream/connection_pool/connection_pool.h
@@ -30,7 +30,7 @@
     // All references outlive the pool. `quota` is of descriptors.
     ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::DescriptorQuota& quota,
                    ConnectionPoolSettings settings, traffic::AttemptListener& listener,
-                   metrics::Numbers& metrics);
+                   metrics::RequestMetrics& metrics);
     ~ConnectionPool() override;
 
     // Applies what discovery reports. An attempt that waits for a connection to an endpoint that drains ends
@@ -85,7 +85,7 @@
     net::DescriptorQuota& quota_;
     ConnectionPoolSettings settings_;
     traffic::AttemptListener& listener_;
-    metrics::Numbers& metrics_;
+    metrics::RequestMetrics& metrics_;
     std::map<traffic::EndpointId, std::unique_ptr<EndpointConnections>> endpoints_;
     AttemptRegistry attempts_;
     std::map<const UpstreamConnection*, ConnectionState> connections_;
--- a/src/upstream/connection_pool/connection_pool_events.cpp
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -19,7 +19,7 @@
 
 void ConnectionPool::on_query_sent(UpstreamConnection& connection) {
     const auto* attempt = connections_.at(&connection).attempt;
-    if (attempt && !attempt->is_health_check) metrics_.tried(attempt->attempt.request_class);
+    if (attempt && !attempt->is_health_check) metrics_.count_attempt_sent(attempt->attempt.request_class);
 }
 
 // Once its response has begun, an attempt no longer times out: what was written to the client stands.
