--- a/src/app/server/derived_settings.cpp
+++ b/src/app/server/derived_settings.cpp
@@ -15,7 +15,8 @@
 
 upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings) {
     upstream::ConnectionPoolSettings out;
-    out.connect = [&loop](const sockaddr_in& to, net::Slot slot, upstream::UpstreamConnectionEvents& events) {
+    out.connect = [&loop](const sockaddr_in& to, net::DescriptorSlot slot,
+                          upstream::UpstreamConnectionEvents& events) {
         return std::make_unique<postgres::PostgresConnection>(
             loop, to, std::move(slot), postgres::PostgresConnection::Credentials{kUser, kDatabase}, events);
     };
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -50,12 +50,12 @@
     : deadlines_(clock),
       max_sockets_(config.sockets),
       memory_mb_(config.memory_mb),
-      client_quota_(net::share(config.sockets).clients),
-      overflow_quota_(net::share(config.sockets).overflow),
-      lingering_quota_(net::share(config.sockets).lingering),
-      endpoint_quota_(net::share(config.sockets).members),
-      client_bytes_(net::bytes_for_clients(config.memory_mb)),
-      large_statement_budget_(net::bytes_for_clients(config.memory_mb)),
+      client_quota_(net::divide_descriptors(config.sockets).clients),
+      overflow_quota_(net::divide_descriptors(config.sockets).overflow),
+      lingering_quota_(net::divide_descriptors(config.sockets).lingering),
+      endpoint_quota_(net::divide_descriptors(config.sockets).upstream),
+      client_bytes_(net::client_memory_limit_bytes(config.memory_mb)),
+      large_statement_budget_(net::client_memory_limit_bytes(config.memory_mb)),
       metrics_(config.settings.class_names),
       dispatch_loop_(deadlines_, router_settings(config.settings.router), config.seed, metrics_),
       pool_(loop_, deadlines_, endpoint_quota_, pool_settings(loop_, config.settings), dispatch_loop_,
@@ -110,13 +110,14 @@
 }
 
 void Server::on_process_count(int processes) {
-    const auto shares = net::share(max_sockets_ / processes);
-    client_quota_.allow(shares.clients);
-    overflow_quota_.allow(shares.overflow);
-    lingering_quota_.allow(shares.lingering);
-    endpoint_quota_.allow(shares.members);
-    client_bytes_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
-    large_statement_budget_.allow(net::bytes_for_clients(memory_mb_) / static_cast<std::size_t>(processes));
+    const auto shares = net::divide_descriptors(max_sockets_ / processes);
+    client_quota_.set_limit(shares.clients);
+    overflow_quota_.set_limit(shares.overflow);
+    lingering_quota_.set_limit(shares.lingering);
+    endpoint_quota_.set_limit(shares.upstream);
+    client_bytes_.set_limit(net::client_memory_limit_bytes(memory_mb_) / static_cast<std::size_t>(processes));
+    large_statement_budget_.set_limit(net::client_memory_limit_bytes(memory_mb_) /
+                                      static_cast<std::size_t>(processes));
     client_listener_->shrink_to_quota();
     pool_.shrink_to_quota();
 }
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -13,8 +13,9 @@
 #include "hot_restart/hot_restart.h"
 #include "metrics/metrics.h"
 #include "sessions/client_listener.h"
+#include "transport/descriptor_quota.h"
 #include "transport/loop.h"
-#include "transport/quota.h"
+#include "transport/memory_budget.h"
 
 namespace sloestack::server {
 
@@ -64,19 +65,21 @@
     const std::set<std::string>& excluded_endpoints() const override { return exclusions_.excluded(); }
     void on_exclusion_update(const std::string& endpoint, bool excluded) override;
     void on_process_count(int processes) override;
-    bool is_within_share() const override { return !client_quota_.over() && !endpoint_quota_.over(); }
+    bool is_within_share() const override {
+        return !client_quota_.is_exceeded() && !endpoint_quota_.is_exceeded();
+    }
     void on_handover_complete() override;
 
     net::Loop loop_;
     Deadlines deadlines_;
     int max_sockets_;
     std::int64_t memory_mb_;
-    net::Quota client_quota_;        // descriptors of clients that are served,
-    net::Quota overflow_quota_;      // of those only told to retry later,
-    net::Quota lingering_quota_;     // of those in a lingering close,
-    net::Quota endpoint_quota_;      // and of connections to endpoints
-    net::ByteAccount client_bytes_;  // buffered for clients, in either direction
-    net::Room large_statement_budget_;
+    net::DescriptorQuota client_quota_;     // descriptors of clients that are served,
+    net::DescriptorQuota overflow_quota_;   // of those only told to retry later,
+    net::DescriptorQuota lingering_quota_;  // of those in a lingering close,
+    net::DescriptorQuota endpoint_quota_;   // and of connections to endpoints
+    net::ByteAccount client_bytes_;         // buffered for clients, in either direction
+    net::MemoryBudget large_statement_budget_;
     metrics::RequestMetrics metrics_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Exclusions exclusions_{dispatch_loop_};
--- a/tests/integration/descriptor_limits_test.cpp
+++ b/tests/integration/descriptor_limits_test.cpp
@@ -14,9 +14,9 @@
 // Whatever the limit, all shares and the process's own descriptors fit into it.
 TEST(DescriptorLimits, SharesNeverExceedTheLimit) {
     for (int all = 64; all < 5000; ++all) {
-        const auto shares = sloestack::net::share(all);
-        EXPECT_LE(shares.all() + 16, all);
-        EXPECT_GE(std::min({shares.clients, shares.members, shares.overflow, shares.lingering}), 8) << all;
+        const auto shares = sloestack::net::divide_descriptors(all);
+        EXPECT_LE(shares.total() + 16, all);
+        EXPECT_GE(std::min({shares.clients, shares.upstream, shares.overflow, shares.lingering}), 8) << all;
     }
 }
 
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -95,7 +95,7 @@
     ProxyHarness proxy(make_settings(), 64);
     proxy.establish_long_poll();
     const auto startup = startup_message();
-    const auto shares = sloestack::net::share(64);
+    const auto shares = sloestack::net::divide_descriptors(64);
     std::vector<loopback::Peer> busy;
     for (int i = 0; i < shares.clients + shares.overflow; ++i) {
         busy.push_back(loopback::connect_to(proxy.port()));
