--- a/tests/integration/descriptor_limits_test.cpp
+++ b/tests/integration/descriptor_limits_test.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "proxy_harness.h"
-#include "transport/quota.h"
+#include "transport/descriptor_quota.h"
 
 namespace {
 
