--- a/src/decision/discovery_poll_schedule.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -80,7 +80,7 @@
 Micros PollBackoff::delay_after_failure(const FailedPoll& poll, double draw) {
     Micros max_us = kLocalAgentMaxBackoffUs;
     if (!is_local_agent_) {
-        // A poll that took longer than the timeout was held, and would have told of a change at once.
+        // A poll that took longer than the timeout was held, and would have brought a change at once.
         const Micros taken_us = std::min(kPollTimeoutUs, poll.duration_us.value_or(kPollTimeoutUs));
         const Micros first_us = poll.rejected ? kFirstBackoffAfterRejectionUs : first_backoff_us_;
         max_us = first_us << std::min(failures_, kMaxDoublings);
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -20,8 +20,8 @@
 constexpr double kLongReadFactor = 2.5;
 constexpr double kDrawExponent = 2;  // sharpness of the draw by latency times work in flight
 
-// The reasons of several endpoints are told as one: the one that comes closest to being forwarded. In this
-// order, from least to most telling.
+// Of the reasons of several endpoints one is reported: that of the endpoint which came closest to being used.
+// In this order, from least to most telling.
 int precedence(RejectionReason reason) {
     switch (reason) {
         case RejectionReason::no_eligible_endpoint:
--- a/src/decision/read_consistency.cpp
+++ b/src/decision/read_consistency.cpp
@@ -8,7 +8,7 @@
 namespace sloestack::decision {
 namespace {
 
-// Added to a session's last write, whose age is told in whole milliseconds.
+// Added to a session's last write, whose age is rounded to whole milliseconds.
 constexpr Micros kWriteAgeRoundingUs = 1'000;
 
 }  // namespace
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -102,7 +102,7 @@
     connection_.reset();
     if (!is_poll_pending()) return;
     const bool was_connected = state_ == State::awaiting_response;
-    // A kept connection may have been closed by discovery as the request crossed: not a failed poll.
+    // A reused connection may have been closed by discovery as the request crossed: not a failed poll.
     if (was_connected && connection_reused_ && response_.status() == 0) return poll();
     if (how == net::Ending::end_of_input) response_.end_of_input();
     if (!response_.done()) return on_poll_failed(was_connected ? "the connection broke" : "cannot connect");
