--- a/fault_harness/part.cpp
+++ b/fault_harness/part.cpp
@@ -56,7 +56,7 @@
             if (next) late_ = std::max(late_, deadlines_.now() - *next);
             deadlines_.sweep();
             tell_busy();
-            loop_.end_turn();
+            loop_.end_iteration();
             turned();
         }
         recorder_.close();
--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -1,4 +1,4 @@
-// The interface of the decision module: the settings, what a router is told (events), what it answers
+// The interface of the decision module: the settings, what is reported to a router (events), what it answers
 // (actions), and the router itself. The module does no I/O, reads no clock and holds no thread; equal
 // settings, seeds and events give equal actions.
 //
--- a/src/app/ctl/emulated_fleet.cpp
+++ b/src/app/ctl/emulated_fleet.cpp
@@ -114,7 +114,7 @@
     if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
     loop_.run_once(at_most);
     deadlines_.sweep();
-    loop_.end_turn();
+    loop_.end_iteration();
 }
 
 void Rig::run(const std::function<bool()>& until, const std::function<void()>& work) {
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -368,7 +368,7 @@
         const auto next = deadlines.next();
         loop.run_once(next ? std::optional<Micros>(*next - deadlines.now()) : std::nullopt);
         deadlines.sweep();
-        loop.end_turn();
+        loop.end_iteration();
     }
     output.close();
     if (parsed->count("json")) {
--- a/src/app/server/derived_settings.cpp
+++ b/src/app/server/derived_settings.cpp
@@ -34,7 +34,7 @@
     return settings;
 }
 
-bool uses_session_tokens(const decision::Settings& settings) {
+bool uses_sessions(const decision::Settings& settings) {
     const auto reads_session = [](const decision::RequestClassSettings& request_class) {
         return request_class.consistency == decision::Consistency::session;
     };
--- a/src/app/server/derived_settings.h
+++ b/src/app/server/derived_settings.h
@@ -15,7 +15,7 @@
 // and endpoint lists are always polled.
 decision::Settings router_settings(decision::Settings settings);
 // Whether some class reads what its session has written.
-bool uses_session_tokens(const decision::Settings& settings);
+bool uses_sessions(const decision::Settings& settings);
 // For each class whether its requests may run beside others of the same connection: reads that may be
 // repeated.
 std::vector<bool> overlap_allowed(const decision::Settings& settings);
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -12,7 +12,7 @@
 namespace sloestack::server {
 namespace {
 
-constexpr Micros kReportInterval = 10'000'000;
+constexpr Micros kReportIntervalUs = 10'000'000;
 #ifdef NDEBUG
 constexpr bool kIsDebugBuild = false;
 #else
@@ -95,7 +95,7 @@
     const downstream::ListenEndpoint listen_endpoint{config.listen, config.passed_socket};
     return std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, quotas, client_bytes_, large_statement_budget_, metrics_, listen_endpoint,
-        dispatch_loop_, config.settings.class_names, overlap_allowed(router), uses_session_tokens(router),
+        dispatch_loop_, config.settings.class_names, overlap_allowed(router), uses_sessions(router),
         longest_deadline(router), config.seed);
 }
 
@@ -123,7 +123,10 @@
 }
 
 void Server::on_exclusion_update(const std::string& endpoint, bool excluded) {
-    excluded ? exclusions_.exclude(endpoint) : exclusions_.include(endpoint);
+    if (excluded)
+        exclusions_.exclude(endpoint);
+    else
+        exclusions_.include(endpoint);
 }
 
 // ---- AdminHandler ----
@@ -161,7 +164,7 @@
         waits_for_discovery_ = false;
         client_listener_->open();
     }
-    loop_.end_turn();
+    loop_.end_iteration();
 }
 
 void Server::handle_signals(std::function<config::Config()> load) {
@@ -206,7 +209,7 @@
         logged_total_ = metrics_.total();
         log::line("metrics", metrics_json());
     }
-    report_timer_.set(deadlines_, deadlines_.now() + kReportInterval, [this] { report(); });
+    report_timer_.set(deadlines_, deadlines_.now() + kReportIntervalUs, [this] { report(); });
 }
 
 }  // namespace sloestack::server
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -75,7 +75,7 @@
     int max_sockets_;
     std::int64_t memory_mb_;
     net::DescriptorQuota client_quota_;     // descriptors of clients that are served,
-    net::DescriptorQuota overflow_quota_;   // of those only told to retry later,
+    net::DescriptorQuota overflow_quota_;   // of those whose requests are only rejected,
     net::DescriptorQuota lingering_quota_;  // of those in a lingering close,
     net::DescriptorQuota endpoint_quota_;   // and of connections to endpoints
     net::ByteAccount client_bytes_;         // buffered for clients, in either direction
--- a/src/core/dispatch_loop/inputs.cpp
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -10,7 +10,7 @@
 using decision::Outcome;
 
 // How long after the client's deadline the decision module may still be about to answer.
-constexpr Micros kOverdueGrace = 30'000;
+constexpr Micros kOverdueGraceUs = 30'000;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     request.statement = std::move(submitted.statement);
     request.request_class = submitted.arrival.request_class;
     request.deadline = submitted.arrival.deadline;
-    request.overdue_check.set(deadlines_, request.deadline + kOverdueGrace,
+    request.overdue_check.set(deadlines_, request.deadline + kOverdueGraceUs,
                               [this, overdue = id] { on_overdue(overdue); });
     queued_events_.emplace_back(submitted.arrival);
     return id;
--- a/src/decision/discovery_poll_schedule.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -22,7 +22,7 @@
 constexpr ScaledDuration kFirstPollWindow{8'000, 700'000,
                                           2'400'000};  // 125 polls a second of routers that start
 constexpr ScaledDuration kHold{12'000, 2'000'000,
-                               3'400'000};  // 83 to 88 long polls a second from 167 routers
+                               3'400'000};  // 83 to 88 long polls a second from 167 to 300 routers
 constexpr ScaledDuration kShortTimeout{6'000, 1'200'000,
                                        1'800'000};                // after a silence, which has taken its time
 constexpr ScaledDuration kFirstBackoff{2'000, 300'000, 600'000};  // after a poll that nobody answered
@@ -35,7 +35,7 @@
 
 // Up to so many routers, one more failure after a silence is within the bound as well.
 constexpr int kFewRouters = 166;
-// From so many on, every scaled duration is at its maximum.
+// From 300 on every scaled duration is at its maximum; any larger number serves.
 constexpr int kManyRouters = 350;
 constexpr Micros kBoundUs = PollBackoff::kNotificationBoundUs;
 
@@ -103,7 +103,8 @@
         case LastResult::list:
             return {hold_us_, hold_us_ + kHoldSlackUs};
         case LastResult::rejection: {
-            // One poll in place of two. It may wait in discovery's queue before it is held.
+            // Held at once, instead of one poll that is not held and another that is. It may wait in
+            // discovery's queue before it is held.
             const bool is_extended = hold_us_ > usual_hold_us_;
             const Micros hold_us = is_extended ? hold_us_ : std::min(hold_us_, kMaxHoldAfterRejectionUs);
             return {hold_us, hold_us + PollBackoff::kPollTimeoutUs};
--- a/src/decision/discovery_poll_schedule.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -37,7 +37,7 @@
     // From a failed poll's end to the next poll, at least 1 us. Exponential backoff with full jitter, longer
     // after a rejection: discovery is there and has too much to do.
     Micros delay_after_failure(const FailedPoll& poll, double draw);
-    // A list has come: the next failure is the first of a row again.
+    // A list has come: the backoff starts again from its first step.
     void on_list_received() { failures_ = 0; }
 
     static constexpr Micros kNotificationBoundUs = 6'000'000;  // of the operators' rules
--- a/src/decision/endpoint.h
+++ b/src/decision/endpoint.h
@@ -53,8 +53,9 @@
 
     // endpoint_registry
     bool is_draining = false;
-    bool is_in_subset = true;       // used before the endpoints outside this router's subset
-    Time removal_notified_at = -1;  // when discovery reported it draining or removed; -1: it has not
+    bool is_in_subset = true;  // used before the endpoints outside this router's subset
+    Time removal_notified_at =
+        -1;  // when it was first reported draining, or removed where removal is binding; -1: in service
 
     // primary_tracker
     Role role = Role::unknown;
@@ -69,7 +70,8 @@
     double in_flight_work_s = 0;
     DecayingRate work_done{kLongRateWindowUs};  // seconds of usual service completed
 
-    // Discovery has reported it draining or removed: nothing new may be forwarded to it.
+    // Discovery has reported it draining, or removed where removal is binding: nothing new may be forwarded
+    // to it.
     bool is_leaving() const { return removal_notified_at >= 0; }
     // Removed, and not merely draining.
     bool is_removed() const { return is_leaving() && !is_draining; }
--- a/src/decision/latency_baseline.cpp
+++ b/src/decision/latency_baseline.cpp
@@ -7,7 +7,7 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kInitialShareOfObjective = 5;  // the usual latency starts at the objective divided by this
+constexpr double kInitialObjectiveDivisor = 5;  // the usual latency starts at the objective divided by this
 constexpr double kMaxShareOfObjective = 0.3;    // a longer usual latency is congestion, not work
 constexpr double kStepUp = 1.01;
 constexpr double kStepDown = 0.99;
@@ -17,7 +17,7 @@
 LatencyBaseline::LatencyBaseline(const std::vector<RequestClassSettings>& classes) : classes_(classes) {
     usual_us_.reserve(classes.size());
     for (const auto& settings : classes)
-        usual_us_.push_back(as_double(settings.latency_objective_us) / kInitialShareOfObjective);
+        usual_us_.push_back(as_double(settings.latency_objective_us) / kInitialObjectiveDivisor);
 }
 
 double LatencyBaseline::shortest_usual_us() const {
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -3,18 +3,14 @@
 #include <algorithm>
 #include <cmath>
 
+#include "silence_criteria.h"
+
 namespace sloestack::decision {
 namespace {
 
 constexpr double kLatencyIncreaseStep = 0.15;  // faster than downwards: trouble is believed soon
 constexpr double kMaxAnswerWeight = 0.5;       // of a single answer in the smoothed ratio
 constexpr double kMinLatencyRatio = 0.2;
-// An endpoint is silent once the time without an answer, over the expected latency and summed over all that
-// it holds, comes to this (e^-10 by chance) ...
-constexpr double kSilenceEvidence = 10;
-// ... and one of them has waited for this multiple of its expected latency, and for this time.
-constexpr double kSilenceLatencyFactor = 4;
-constexpr Micros kMinSilenceUs = 120'000;
 constexpr int kMaxDisconnects = 3;  // in a row: the process has died, not a connection
 constexpr Micros kFirstTrialDelayUs = 250'000;
 constexpr Micros kMaxTrialIntervalUs = 2'000'000;
@@ -99,7 +95,9 @@
             eject(*endpoint, EjectionCause::silent, actions);
 }
 
-// One slow request is no verdict; an endpoint that hangs and holds just one is found later for that.
+// Needs at least two unanswered attempts: a single one may only be queued behind other routers' requests. So
+// an endpoint that hangs with one attempt is found later. The longest wait is held against the shortest
+// latency that was expected of any of them.
 bool OutlierDetection::is_silent(const Endpoint& endpoint) const {
     double evidence = 0;
     double longest_us = 0;
@@ -111,7 +109,6 @@
         longest_us = std::max(longest_us, unanswered_us);
         shortest_expected_us = std::min(shortest_expected_us, attempt.expected_latency_us);
     }
-    // A single outstanding request is not evidence: it may be queued behind other routers' requests.
     const auto unanswered = endpoint.in_flight.size() + static_cast<std::size_t>(endpoint.outlier.unanswered);
     return evidence > kSilenceEvidence && unanswered > 1 &&
            longest_us > std::max<double>(kMinSilenceUs, kSilenceLatencyFactor * shortest_expected_us);
--- a/src/decision/pending_queue.cpp
+++ b/src/decision/pending_queue.cpp
@@ -52,13 +52,13 @@
     return queued * usual_us > clearable_us + kMinQueuedWrites * usual_us;
 }
 
-void PendingQueue::pump(Actions& actions) {
+void PendingQueue::forward_queued(Actions& actions) {
     const auto order = state_.latency.by_weight_for_work();
     for (auto& [id, group] : state_.groups)
-        for (const auto class_index : order) pump_class(group.queues[class_index], actions);
+        for (const auto class_index : order) forward_queued_of_class(group.queues[class_index], actions);
 }
 
-void PendingQueue::pump_class(std::deque<RequestId>& queue, Actions& actions) {
+void PendingQueue::forward_queued_of_class(std::deque<RequestId>& queue, Actions& actions) {
     std::size_t position = 0;
     for (int scanned = 0; position < queue.size() && scanned < kMaxScannedRequests; ++scanned) {
         if (leaves_queue(queue[position], actions))
--- a/src/decision/pending_queue.h
+++ b/src/decision/pending_queue.h
@@ -21,12 +21,12 @@
     // Forwards the request now, queues it, or gives it up where waiting is no use.
     void dispatch(Request& request, Actions& actions);
     // Forwards what can be forwarded by now, and gives up what has waited for too long.
-    void pump(Actions& actions);
+    void forward_queued(Actions& actions);
 
 private:
     void enqueue(Request& request, Actions& actions);
     bool is_overfull(const ReplicaGroup& group, const Request& request, bool has_primary) const;
-    void pump_class(std::deque<RequestId>& queue, Actions& actions);
+    void forward_queued_of_class(std::deque<RequestId>& queue, Actions& actions);
     // True where the request needs no place in its queue any more.
     bool leaves_queue(RequestId id, Actions& actions);
 
--- a/src/decision/primary_tracker.cpp
+++ b/src/decision/primary_tracker.cpp
@@ -57,7 +57,8 @@
                                          const ReplicationStatus& status, Actions& actions) {
     const bool is_newest = !status.position || *status.position >= group.primary_position;
     if (group.primary == endpoint.id || !is_newest) return;
-    // Positions stood still while there was no primary; a speed across that time would set a false throttle.
+    // Positions did not advance while there was no primary: a speed across that gap would be too low and
+    // would throttle writes.
     if (group.primary_lost_at >= 0 || group.primary) {
         group.primary_history.clear();
         for (const auto id : group.members) state_.endpoints.at(id).replication.history.clear();
--- a/src/decision/primary_tracker.h
+++ b/src/decision/primary_tracker.h
@@ -23,7 +23,8 @@
     // nullptr where none is due.
     Endpoint* trial_candidate(ReplicaGroup& group, const Request& request);
 
-    // Checks all members as the group is first used.
+    // On a group's first use: checks each endpoint or, where endpoints check reads themselves, each with a
+    // probability that makes about 6 checks over all routers.
     void on_first_use(ReplicaGroup& group, Actions& actions);
     // Checks all members again where no primary is confirmed; `is_confirmed` says whether one is.
     void renew_health_checks(ReplicaGroup& group, bool is_confirmed, Actions& actions);
--- a/src/decision/read_consistency.h
+++ b/src/decision/read_consistency.h
@@ -19,7 +19,8 @@
     void record_write(const Request& request, Time position);
     // Whether the endpoint can answer the read, as far as is known.
     bool is_met_by(const Endpoint& endpoint, const Request& request) const;
-    // Whether reads may take the data of this primary, or of one that only a list names, for the present.
+    // Whether this primary may answer reads that need the newest data: it has reported its own role, or the
+    // settings allow a listed primary to be believed.
     bool trusts_primary(const Endpoint& primary) const;
     // Forgets the tokens that all members of their group have passed; `oldest_positions` by group. The newest
     // token that is forgotten still binds sessions without one: an endpoint that joins later may start from
--- a/src/decision/replica_group.h
+++ b/src/decision/replica_group.h
@@ -31,7 +31,7 @@
 
 struct ReplicaGroup {
     int id = 0;
-    std::vector<EndpointId> members;  // sorted
+    std::vector<EndpointId> members;  // its endpoints, sorted by id; removed ones until they are forgotten
 
     // primary_tracker
     std::optional<EndpointId> primary;
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -18,12 +18,13 @@
     // given up; 0 leaves it all the time that the request has.
     bool forward(Request& request, Endpoint& endpoint, Micros timeout_us, Actions& actions);
     // Rejects the request where that is the truth and fails it otherwise, and ends it. `retry_after_us` is
-    // cut to what the settings allow.
+    // cut to what the settings allow. The request is destroyed.
     void reject(Request& request, Micros retry_after_us, RejectionReason reason, Actions& actions);
-    // The same with a Retry-After drawn round that of its class, where none is given.
+    // As reject(); without `retry_after_us`, Retry-After is drawn from 0.5 to 1.5 times that of the class.
+    // Counts a read that found only stale replicas towards the write throttle. The request is destroyed.
     void give_up(Request& request, RejectionReason reason, Actions& actions, Micros retry_after_us = 0);
     // Ends the request. `answered_attempt` is the attempt that answered it, -1 where none did; the others are
-    // cancelled. The request is gone behind it.
+    // cancelled. The request is destroyed: references to it are invalid afterwards.
     void close(const Request& request, int answered_attempt, Actions& actions);
 
 private:
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -38,7 +38,8 @@
     const Settings& settings_;
 };
 
-// Bounds further attempts by the requests that arrive, so that retries cannot multiply an overload.
+// Allows 0.2 further attempts for each arriving request and at most 80 saved up, so that retries cannot
+// multiply an overload.
 class RetryBudget {
 public:
     void on_arrival();
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -1,4 +1,5 @@
-// Events in, actions out: the order of a step. What is decided stands in the other files of this folder.
+// The order of a step: events in, actions out. Each rule (one decision with its own state, listed in
+// docs/DECISIONS.md) has its own file in this folder.
 #include "sloestack/router.h"
 
 #include <algorithm>
@@ -23,7 +24,8 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr Micros kTickIntervalUs = 5'000;  // well under any latency objective
+constexpr Micros kTickIntervalUs =
+    5'000;  // time resolution of what no event triggers: silence, overdue requests, checks
 constexpr Micros kForgetIntervalUs = 1'000'000;
 constexpr std::uint32_t kTickTimer = 1;
 constexpr std::uint32_t kPollTimer = 2;
@@ -63,7 +65,7 @@
         state_.now = now;
         if (state_.started_at < 0) start(actions);
         for (const auto& event : events) std::visit([&](const auto& kind) { on(kind, actions); }, event);
-        pending_queue_.pump(actions);
+        pending_queue_.forward_queued(actions);
     }
 
     std::size_t ejected_endpoint_count() const {
--- a/src/decision/router_state.h
+++ b/src/decision/router_state.h
@@ -38,7 +38,7 @@
     const Settings settings;
     RandomSource random;
     Time now = 0;
-    Time started_at = -1;  // the first step; what was written before it this router does not know of
+    Time started_at = -1;  // of the first step; -1: none yet. The router knows of no write before it
     std::map<EndpointId, Endpoint> endpoints;
     std::map<EndpointId, Endpoint*> busy_endpoints;  // those with attempts in flight
     std::map<int, ReplicaGroup> groups;
--- a/src/decision/interface.cpp
+++ b/src/decision/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Validation of settings.
+// Validation of settings. The keys that errors name are short forms of those in core/settings.
 #include <stdexcept>
 
 #include "sloestack/router.h"
--- a/src/decision/write_throttle.h
+++ b/src/decision/write_throttle.h
@@ -2,9 +2,9 @@
 // management that the design cites).
 //
 // A group is throttled while its slowest replica that has lately reported lags past the target; writes are
-// then admitted at the offered rate times apply speed over commit speed. An entry lapses unless it is
-// renewed. Three departures from the design, each marked where it acts, keep writes from being rejected for
-// no one's benefit.
+// then admitted at the offered rate times apply speed over commit speed. A group's throttle lapses 3 s
+// after it was last renewed. Three departures from the design, each marked where it acts, keep writes from
+// being rejected for no one's benefit.
 #pragma once
 
 #include "endpoint.h"
--- a/src/decision/zone_health.cpp
+++ b/src/decision/zone_health.cpp
@@ -13,7 +13,7 @@
 constexpr double kEvidenceDecayUs = 4e6;
 constexpr Micros kMinCheckIntervalUs = 250'000;
 constexpr Micros kCheckIntervalPerRouterUs = 3'000;
-// Another zone has answered within this; else it is the router that hears nothing.
+// Another zone must have answered within this time; otherwise this router itself is probably cut off.
 constexpr Micros kOtherZoneAnswerAgeUs = 500'000;
 
 }  // namespace
@@ -43,7 +43,7 @@
 }
 
 std::vector<int> ZoneHealth::find_newly_silent(Time now, const std::vector<PendingAttempt>& pending) {
-    // Called each tick: nobody waits, so nothing has been waited for long enough.
+    // Runs every tick: without pending attempts no zone can have become silent.
     if (pending.empty()) return {};
     auto with_pending = zones_;
     std::set<int> waited_long;
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -7,25 +7,25 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kAcceptRetryDelay = 20'000;  // while no descriptor is free
-constexpr Micros kDescriptorWarningInterval = 1'000'000;
+constexpr Micros kAcceptRetryDelayUs = 20'000;  // while no descriptor is free
+constexpr Micros kDescriptorWarningIntervalUs = 1'000'000;
 
 // Idle sessions may hold one part in so many of the clients' quota; beyond that they are closed once idle for
-// kCrowdedIdleTimeout.
+// kCrowdedIdleTimeoutUs.
 constexpr int kIdleQuotaDivisor = 3;
-constexpr Micros kCrowdedIdleTimeout = 100'000;
-constexpr Micros kIdleCheckInterval = 50'000;
-
-// After a stop. The process may be killed once kMaxLongestWait and 0.7 s more have passed; no request may be
-// open then.
-constexpr Micros kMaxLongestWait = 3'000'000;
-constexpr Micros kMinListenTime = 500'000;           // load balancers may still send clients
-constexpr Micros kListenTimeAfterArrival = 100'000;  // after the last of them
-constexpr Micros kStopIdleTimeout = 500'000;         // a session idle for so long is closed early
-constexpr Micros kCloseAllBeforeLongestWait = 800'000;
-constexpr Micros kFailAllAfterLongestWait = 500'000;  // open requests are answered with an error
-constexpr Micros kLastLinger = 100'000;
-constexpr Micros kStopInterval = 50'000;
+constexpr Micros kCrowdedIdleTimeoutUs = 100'000;
+constexpr Micros kIdleCheckIntervalUs = 50'000;
+
+// After a stop. The process may be killed once kMaxLongestWaitUs and 0.7 s more have passed; no request may
+// be open then.
+constexpr Micros kMaxLongestWaitUs = 3'000'000;
+constexpr Micros kMinListenTimeUs = 500'000;           // load balancers may still send clients
+constexpr Micros kListenTimeAfterArrivalUs = 100'000;  // after the last of them
+constexpr Micros kStopIdleTimeoutUs = 500'000;         // a session idle for so long is closed early
+constexpr Micros kCloseAllBeforeLongestWaitUs = 800'000;
+constexpr Micros kFailAllAfterLongestWaitUs = 500'000;  // open requests are answered with an error
+constexpr Micros kLastLingerUs = 100'000;
+constexpr Micros kStopIntervalUs = 50'000;
 
 }  // namespace
 
@@ -33,8 +33,8 @@
                                net::ByteAccount& account, net::MemoryBudget& large_statement_budget,
                                metrics::RequestMetrics& metrics, const ListenEndpoint& listen_endpoint,
                                traffic::RequestDispatcher& dispatcher, std::vector<std::string> class_names,
-                               std::vector<bool> class_may_overlap, bool uses_session_tokens,
-                               Micros longest_wait, std::uint64_t seed)
+                               std::vector<bool> class_may_overlap, bool uses_sessions, Micros longest_wait,
+                               std::uint64_t seed)
     : loop_(loop),
       deadlines_(deadlines),
       client_quota_(quotas.clients),
@@ -51,9 +51,9 @@
                metrics,
                std::move(class_names),
                std::move(class_may_overlap),
-               uses_session_tokens,
+               uses_sessions,
                CancelKeys(seed)},
-      longest_wait_(std::min(longest_wait, kMaxLongestWait)) {}
+      longest_wait_(std::min(longest_wait, kMaxLongestWaitUs)) {}
 
 ClientListener::~ClientListener() = default;
 
@@ -76,14 +76,15 @@
     for_each_session([&](ClientSession& session) {
         if (idle_count * kIdleQuotaDivisor <= client_quota_.limit()) return false;
         const bool is_long_idle = session.has_sent_query() &&
-                                  session.last_active_at() <= now - kCrowdedIdleTimeout && session.is_idle();
+                                  session.last_active_at() <= now - kCrowdedIdleTimeoutUs &&
+                                  session.is_idle();
         if (is_long_idle) {
             session.finish();
             --idle_count;
         }
         return true;
     });
-    close_idle_.set(deadlines_, now + kIdleCheckInterval, [this] { close_long_idle_sessions(); });
+    close_idle_.set(deadlines_, now + kIdleCheckIntervalUs, [this] { close_long_idle_sessions(); });
 }
 
 void ClientListener::open() {
@@ -115,13 +116,13 @@
 // No descriptor is left: new clients wait in the kernel's queue.
 void ClientListener::pause_accepting() {
     const Time now = deadlines_.now();
-    if (now - last_warning_at_ > kDescriptorWarningInterval) {
+    if (now - last_warning_at_ > kDescriptorWarningIntervalUs) {
         last_warning_at_ = now;
         log::line("out of descriptors", std::to_string(sessions_.size()) + " clients");
     }
     if (!listener_) return;
     listener_->pause();
-    resume_accepting_.set(deadlines_, now + kAcceptRetryDelay, [this] {
+    resume_accepting_.set(deadlines_, now + kAcceptRetryDelayUs, [this] {
         if (client_quota_.is_full() && overflow_quota_.is_full()) return pause_accepting();
         if (listener_) listener_->resume();
     });
@@ -167,7 +168,7 @@
     if (stopping_since_) return;
     has_successor_ = has_successor;
     stopping_since_ = deadlines_.now();
-    context_.linger_deadline = stopping_since_ + longest_wait_ + kFailAllAfterLongestWait + kLastLinger;
+    context_.linger_deadline = stopping_since_ + longest_wait_ + kFailAllAfterLongestWaitUs + kLastLingerUs;
     log::line("stopping", std::to_string(sessions_.size()) + " clients connected");
     continue_stop();
 }
@@ -178,23 +179,23 @@
     const Time now = deadlines_.now();
     const Micros stopped_for = now - stopping_since_;
     const bool may_stop_listening =
-        stopped_for >= kMinListenTime && now >= last_accepted_at_ + kListenTimeAfterArrival;
+        stopped_for >= kMinListenTimeUs && now >= last_accepted_at_ + kListenTimeAfterArrivalUs;
     if (listener_ && (has_successor_ || may_stop_listening)) stop_listening();
     const bool close_all =
-        stopped_for >= std::max(kMinListenTime, longest_wait_ - kCloseAllBeforeLongestWait);
+        stopped_for >= std::max(kMinListenTimeUs, longest_wait_ - kCloseAllBeforeLongestWaitUs);
     // Closed right behind its response a connection loses no query; with a successor that begins at once.
     context_.close_after_response = has_successor_ || close_all;
-    const bool fail_all = stopped_for >= longest_wait_ + kFailAllAfterLongestWait;
+    const bool fail_all = stopped_for >= longest_wait_ + kFailAllAfterLongestWaitUs;
     if (fail_all) stop_listening();
     for_each_session([&](ClientSession& session) {
         if (fail_all)
             session.fail_requests_and_finish();
         else if (session.is_between_requests() &&
-                 (close_all || session.last_active_at() < now - kStopIdleTimeout))
+                 (close_all || session.last_active_at() < now - kStopIdleTimeoutUs))
             session.finish();
         return true;
     });
-    continue_stop_.set(deadlines_, now + kStopInterval, [this] { continue_stop(); });
+    continue_stop_.set(deadlines_, now + kStopIntervalUs, [this] { continue_stop(); });
 }
 
 void ClientListener::stop_listening() {
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -23,7 +23,7 @@
     // The shares of the process's descriptors that clients' connections have, by their state.
     struct Quotas {
         net::DescriptorQuota& clients;    // served
-        net::DescriptorQuota& overflow;   // only told to retry later
+        net::DescriptorQuota& overflow;   // whose requests are only rejected
         net::DescriptorQuota& lingering;  // in a lingering close
     };
     // `class_may_overlap` has an element for each of `class_names`. `longest_wait`, of any client for a
@@ -33,7 +33,7 @@
                    net::MemoryBudget& large_statement_budget, metrics::RequestMetrics& metrics,
                    const ListenEndpoint& listen_endpoint, traffic::RequestDispatcher& dispatcher,
                    std::vector<std::string> class_names, std::vector<bool> class_may_overlap,
-                   bool uses_session_tokens, Micros longest_wait, std::uint64_t seed);
+                   bool uses_sessions, Micros longest_wait, std::uint64_t seed);
     ~ClientListener();
 
     // Begins to accept. Throws std::runtime_error where the address cannot be listened on.
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -11,8 +11,8 @@
 constexpr int kMaxMessagesPerIteration = 16;  // so that no client keeps the event loop to itself
 // Clients were seen to pipeline up to nine; each open query takes an upstream connection, which are few.
 constexpr std::size_t kMaxOpenQueries = 8;
-constexpr Micros kMemoryRetryDelay = 5'000;
-constexpr Micros kIdleBeforeFirstQuery = 50'000;
+constexpr Micros kMemoryRetryDelayUs = 5'000;
+constexpr Micros kIdleBeforeFirstQueryUs = 50'000;
 
 }  // namespace
 
@@ -46,7 +46,7 @@
 
 bool ClientSession::is_idle_before_first_query() const {
     if (is_ending() || has_sent_query_) return false;
-    return context_.deadlines.now() - timeouts_.connected_at() > kIdleBeforeFirstQuery && has_no_input();
+    return context_.deadlines.now() - timeouts_.connected_at() > kIdleBeforeFirstQueryUs && has_no_input();
 }
 
 Time ClientSession::last_active_at() const {
@@ -120,7 +120,7 @@
 // Memory for all of it is reserved before its body is read; until then that waits in the kernel.
 bool ClientSession::begin_large_statement(std::size_t size) {
     if (!framer_.reserve_large_statement(size)) {
-        const Time retry_at = context_.deadlines.now() + kMemoryRetryDelay;
+        const Time retry_at = context_.deadlines.now() + kMemoryRetryDelayUs;
         resume_reading_.set(context_.deadlines, retry_at, [this] { read_messages(); });
         return false;
     }
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -7,7 +7,7 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kRetryAfterWhenBusy = 1'000'000;
+constexpr Micros kRetryAfterWhenBusyUs = 1'000'000;
 
 }  // namespace
 
@@ -63,7 +63,7 @@
         return responses_.respond(empty_query_response());
     }
     if (reject_requests_) {
-        reject_request(statements_.request_class_of(text), kRetryAfterWhenBusy);
+        reject_request(statements_.request_class_of(text), kRetryAfterWhenBusyUs);
         return finish();
     }
     auto result = statements_.read(std::move(text), std::move(memory), message_arrived_at_);
@@ -86,8 +86,9 @@
             return respond_with_error(pgwire::code::kInvalidParameter, error.message);
         case StatementError::Kind::unknown_replica_group:
             context_.metrics.count_response(error.request_class, metrics::ResponseKind::rejected);
-            return responses_.respond(error_response(
-                pgwire::code::kCannotConnectNow, "no member of this cluster is known", kRetryAfterWhenBusy));
+            return responses_.respond(error_response(pgwire::code::kCannotConnectNow,
+                                                     "no member of this cluster is known",
+                                                     kRetryAfterWhenBusyUs));
         case StatementError::Kind::deadline_exceeded:
             context_.metrics.count_unserved(error.request_class,
                                             decision::RejectionReason::deadline_exceeded);
--- a/src/downstream/sessions/disconnect_detector.cpp
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -5,15 +5,15 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kFirstCheckDelay = 2'000;  // a round trip
-constexpr Micros kCheckInterval = 10'000;   // a reset may come at any time
+constexpr Micros kFirstCheckDelayUs = 2'000;  // a round trip
+constexpr Micros kCheckIntervalUs = 10'000;   // a reset may come at any time
 
 }  // namespace
 
-void DisconnectDetector::input_ended() { schedule_check(kFirstCheckDelay); }
+void DisconnectDetector::input_ended() { schedule_check(kFirstCheckDelayUs); }
 
 void DisconnectDetector::input_paused() {
-    if (!check_.is_set()) schedule_check(kCheckInterval);
+    if (!check_.is_set()) schedule_check(kCheckIntervalUs);
 }
 
 bool DisconnectDetector::client_disconnected() {
@@ -35,7 +35,7 @@
 void DisconnectDetector::check() {
     if (!connection_->healthy()) return owner_.on_client_disconnected();
     const bool input_matters = owner_.input_has_ended() || owner_.input_is_paused();
-    if (owner_.waits_for_response() && input_matters) schedule_check(kCheckInterval);
+    if (owner_.waits_for_response() && input_matters) schedule_check(kCheckIntervalUs);
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -28,7 +28,7 @@
     std::vector<std::string> class_names;
     // By request class: idempotent reads, which may run beside other such queries of their connection.
     std::vector<bool> class_may_overlap;
-    bool uses_session_tokens = false;  // some class reads its own session's writes
+    bool uses_sessions = false;  // some class reads its own session's writes
     CancelKeys cancel_keys{0};
     bool close_after_response = false;  // the listener stops: sessions close after their next response
     // The latest end of any lingering close.
--- a/src/downstream/sessions/session_timeouts.cpp
+++ b/src/downstream/sessions/session_timeouts.cpp
@@ -5,12 +5,13 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kFirstQueryTimeout = 2'400'000;
-constexpr Micros kMessageTimeout = 2'200'000;             // from its first byte to its last
-constexpr Micros kLargeStatementPartTimeout = 2'200'000;  // from one part to the next
-constexpr Micros kIdleTimeout = 10'000'000;               // the client may connect again
-constexpr Micros kWriteStallTimeout = 5'000'000;
-constexpr Micros kLingerTimeout = 1'000'000;  // for the client to read its last response and to close as well
+constexpr Micros kFirstQueryTimeoutUs = 2'400'000;
+constexpr Micros kMessageTimeoutUs = 2'200'000;             // from its first byte to its last
+constexpr Micros kLargeStatementPartTimeoutUs = 2'200'000;  // from one part to the next
+constexpr Micros kIdleTimeoutUs = 10'000'000;               // the client may connect again
+constexpr Micros kWriteStallTimeoutUs = 5'000'000;
+constexpr Micros kLingerTimeoutUs =
+    1'000'000;  // for the client to read its last response and to close as well
 
 }  // namespace
 
@@ -26,21 +27,22 @@
 }
 
 Time SessionTimeouts::waiting_limit(const SessionActivity& activity) const {
-    const Time first_query_limit = connected_at_ + kFirstQueryTimeout;
-    if (activity.in_large_statement) return activity.last_read_at + kLargeStatementPartTimeout;
+    const Time first_query_limit = connected_at_ + kFirstQueryTimeoutUs;
+    if (activity.in_large_statement) return activity.last_read_at + kLargeStatementPartTimeoutUs;
     if (!activity.is_started) return first_query_limit;
-    if (activity.has_partial_message) return std::max(first_query_limit, message_begun_at_ + kMessageTimeout);
+    if (activity.has_partial_message)
+        return std::max(first_query_limit, message_begun_at_ + kMessageTimeoutUs);
     if (!activity.has_sent_query) return first_query_limit;
-    return std::max(activity.last_read_at, activity.last_response_at) + kIdleTimeout;
+    return std::max(activity.last_read_at, activity.last_response_at) + kIdleTimeoutUs;
 }
 
 void SessionTimeouts::await_write_progress(std::uint64_t sent_bytes, std::function<void()> on_stalled) {
     sent_bytes_when_set_ = sent_bytes;
-    limit_.set(deadlines_, deadlines_.now() + kWriteStallTimeout, std::move(on_stalled));
+    limit_.set(deadlines_, deadlines_.now() + kWriteStallTimeoutUs, std::move(on_stalled));
 }
 
 void SessionTimeouts::await_close(Time latest, std::function<void()> on_expired) {
-    const Time limit = std::min(deadlines_.now() + kLingerTimeout, latest);
+    const Time limit = std::min(deadlines_.now() + kLingerTimeoutUs, latest);
     limit_.set(deadlines_, limit, std::move(on_expired));
 }
 
--- a/src/downstream/sessions/statement_reader.cpp
+++ b/src/downstream/sessions/statement_reader.cpp
@@ -10,7 +10,7 @@
 constexpr Micros kMicrosPerMillisecond = 1000;
 
 // FNV-1a, 64 bits; never 0, which stands for no session.
-std::uint64_t session_token(std::string_view name) {
+std::uint64_t session_id_of(std::string_view name) {
     constexpr std::uint64_t kOffsetBasis = 14695981039346656037u;
     constexpr std::uint64_t kPrime = 1099511628211u;
     std::uint64_t hash = kOffsetBasis;
@@ -48,7 +48,7 @@
     arrival.deadline = received_at + tags.left_ms * kMicrosPerMillisecond;
     if (arrival.deadline <= now) return StatementError{Kind::deadline_exceeded, request_class};
     arrival.is_retry = tags.repeat;
-    if (context_.uses_session_tokens) arrival.session = session_token(tags.quoted);
+    if (context_.uses_sessions) arrival.session = session_id_of(tags.quoted);
     if (tags.after_ms && *tags.after_ms > 0)
         arrival.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * kMicrosPerMillisecond);
     parsed.id = tags.id;
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -48,7 +48,10 @@
     poll_started_at_ = deadlines_.now();
     current_poll_ = timeouts_.next();
     connection_reused_ = connection_ != nullptr;
-    connection_reused_ ? send_request() : connect();
+    if (connection_reused_)
+        send_request();
+    else
+        connect();
 }
 
 void DiscoveryWatch::connect() {
@@ -127,7 +130,10 @@
 void DiscoveryWatch::on_poll_failed(const std::string& reason, PollFailure failure) {
     log::line("discovery failed", reason);
     const bool rejected = failure == PollFailure::rejected;
-    rejected ? timeouts_.on_rejection(is_held()) : timeouts_.on_silence(is_held());
+    if (rejected)
+        timeouts_.on_rejection(is_held());
+    else
+        timeouts_.on_silence(is_held());
     state_ = State::stopped;
     has_completed_poll_ = true;
     drop_connection();
--- a/src/net/transport/connection.cpp
+++ b/src/net/transport/connection.cpp
@@ -79,14 +79,17 @@
     read_or_rest();
 }
 
-// What stands at its bound and is not taken would be told again and again within one turn of the loop,
-// without end (libevent triggers the callback anew while the high watermark is reached): no deadline was
-// swept any more. So reading is off for as long as the bound is reached, and not only by the watermark.
+// At the high watermark libevent calls back again and again within one iteration until input is consumed, so
+// that no deadline would run. Reading is therefore disabled while the limit is reached, not only by the
+// watermark.
 void Connection::read_or_rest() {
     const bool reads = !held_back_ && held() < most_unread_;
     if (reads == reads_) return;
     reads_ = reads;
-    reads ? bufferevent_enable(bev_.get(), EV_READ) : bufferevent_disable(bev_.get(), EV_READ);
+    if (reads)
+        bufferevent_enable(bev_.get(), EV_READ);
+    else
+        bufferevent_disable(bev_.get(), EV_READ);
 }
 
 std::unique_ptr<Connection> Connection::accepted(Loop& loop, evutil_socket_t fd, std::size_t most_unread,
@@ -105,7 +108,7 @@
     const auto fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return nullptr;
     auto out = accepted(loop, fd, most_unread, events);
-    // A refusal comes as a callback, from the loop; only a failure to start connecting is told here.
+    // A refused connection is reported by ended(), later; only a failure to start connecting returns null.
     if (out &&
         bufferevent_socket_connect(out->bev_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
         return nullptr;
@@ -115,8 +118,8 @@
 std::string_view Connection::unread(std::size_t most) {
     const auto size = std::min(held(), most);
     if (size == 0) return {};
-    // Moves what stands in pieces: asked for a few bytes, it leaves a large message that is still coming
-    // alone.
+    // Makes the bytes contiguous by copying; only those asked for, so that a large message that is still
+    // arriving is not copied each time.
     return {reinterpret_cast<const char*>(
                 evbuffer_pullup(bufferevent_get_input(bev_.get()), static_cast<ev_ssize_t>(size))),
             size};
--- a/src/net/transport/descriptor_quota.h
+++ b/src/net/transport/descriptor_quota.h
@@ -57,7 +57,7 @@
 
 struct DescriptorShares {
     int clients;    // connections of clients that are served
-    int overflow;   // of clients that are only told to retry later
+    int overflow;   // of clients that are whose requests are only rejected
     int lingering;  // of clients, in a lingering close
     int upstream;   // connections to endpoints
     constexpr int total() const { return clients + overflow + lingering + upstream; }
--- a/src/net/transport/loop.h
+++ b/src/net/transport/loop.h
@@ -1,4 +1,4 @@
-// The event loop: libevent underneath, one turn at a time.
+// The event loop: libevent underneath, one iteration at a time.
 #pragma once
 
 #include <event2/event.h>
@@ -24,12 +24,12 @@
     // Waits until something has come in or the time has passed, and handles all that has come in.
     void run_once(std::optional<Micros> at_most);
 
-    // Keeps an object that may still be on the call stack until the turn is over.
+    // Keeps an object that may still be on the call stack until the iteration is over.
     template <class T>
     void delete_later(std::unique_ptr<T> object) {
         deferred_.emplace_back(std::move(object));
     }
-    void end_turn() { deferred_.clear(); }
+    void end_iteration() { deferred_.clear(); }
 
 private:
     struct Signal {
--- a/src/upstream/connection_pool/attempt_registry.cpp
+++ b/src/upstream/connection_pool/attempt_registry.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr traffic::RequestId kHealthCheckRequestId = 0;  // no request has this number
-constexpr Micros kHealthCheckTimeout = 250'000;
+constexpr Micros kHealthCheckTimeoutUs = 250'000;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     attempt.request = kHealthCheckRequestId;
     attempt.number = health_check_count_;
     attempt.endpoint = endpoint;
-    attempt.timeout_at = deadlines_.now() + kHealthCheckTimeout;
+    attempt.timeout_at = deadlines_.now() + kHealthCheckTimeoutUs;
     ++health_check_count_;
     return add(attempt);
 }
--- a/src/upstream/connection_pool/connection_pool.cpp
+++ b/src/upstream/connection_pool/connection_pool.cpp
@@ -8,10 +8,10 @@
 using decision::EndpointListKind;
 using decision::Outcome;
 
-constexpr Micros kIdleTimeoutMargin = 1'000'000;  // closed this much before the endpoint would
+constexpr Micros kIdleTimeoutMarginUs = 1'000'000;  // closed this much before the endpoint would
 // After a response, before the next query: a duplicate or stray bytes right behind a response would be read
 // as the response to that query.
-constexpr Micros kRestBeforeReuse = 20'000;
+constexpr Micros kRestBeforeReuseUs = 20'000;
 
 }  // namespace
 
@@ -103,7 +103,7 @@
     }
     while (endpoint.connecting < endpoint.waiting.size()) {
         if (open_connection(endpoint)) continue;
-        // No descriptor is left: the attempt is not sent at all.
+        // No descriptor is free, or no socket could be opened: the attempt is not sent at all.
         auto& attempt = *endpoint.waiting.back();
         endpoint.waiting.pop_back();
         attempts_.finish(attempt, Outcome::expired);
@@ -210,7 +210,7 @@
         close(connection);
         return serve_waiting(endpoint);
     }
-    connection.timeout.set(deadlines_, deadlines_.now() + kRestBeforeReuse, [this, &connection] {
+    connection.timeout.set(deadlines_, deadlines_.now() + kRestBeforeReuseUs, [this, &connection] {
         make_idle(*connections_.at(&connection).endpoint, connection);
     });
 }
@@ -223,7 +223,7 @@
     }
     endpoint.idle.push_back(&connection);
     const Micros idle_timeout =
-        std::max(settings_.idle_timeout_us - kIdleTimeoutMargin, settings_.idle_timeout_us / 2);
+        std::max(settings_.idle_timeout_us - kIdleTimeoutMarginUs, settings_.idle_timeout_us / 2);
     connection.timeout.set(deadlines_, deadlines_.now() + idle_timeout,
                            [this, &connection] { close(connection); });
     serve_waiting(endpoint);
--- a/src/upstream/connection_pool/connection_pool_events.cpp
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -6,8 +6,8 @@
 
 using decision::Outcome;
 
-constexpr Micros kResponsePartTimeout = 150'000;  // endpoints write a response in one go
-constexpr Micros kValueChunkTimeout = 5'000'000;  // a streamed value may arrive slowly
+constexpr Micros kResponsePartTimeoutUs = 150'000;  // endpoints write a response in one go
+constexpr Micros kValueChunkTimeoutUs = 5'000'000;  // a streamed value may arrive slowly
 
 }  // namespace
 
@@ -42,7 +42,7 @@
 
 void ConnectionPool::on_response_progress(UpstreamConnection& connection) {
     if (connection.is_paused()) return connection.timeout.clear();  // it waits for the client
-    const Micros timeout = connection.is_streaming() ? kValueChunkTimeout : kResponsePartTimeout;
+    const Micros timeout = connection.is_streaming() ? kValueChunkTimeoutUs : kResponsePartTimeoutUs;
     connection.timeout.set(deadlines_, deadlines_.now() + timeout,
                            [&connection] { connection.fail_invalid_response(); });
 }
--- a/tests/fleet/discovery_watch_test.cpp
+++ b/tests/fleet/discovery_watch_test.cpp
@@ -111,7 +111,7 @@
     }
     void run_once() {
         loop_.run_once(0);
-        loop_.end_turn();
+        loop_.end_iteration();
         discovery_.receive();
     }
     template <class Condition>
