--- a/bench/decision_trace/fleet.cpp
+++ b/bench/decision_trace/fleet.cpp
@@ -252,7 +252,7 @@
     }
     if (end.outcome == Outcome::ok && random_.one_in(50)) {
         schedule(end.latency_us, router,
-                 AnswerStarted{end.request, end.attempt, end.endpoint, end.latency_us});
+                 ResponseStarted{end.request, end.attempt, end.endpoint, end.latency_us});
         end.latency_us += 50'000;
     }
     schedule(end.latency_us, router, end);
--- a/emulator/callers.cpp
+++ b/emulator/callers.cpp
@@ -60,7 +60,7 @@
         PollBackoff calls;
         PollTimeouts times;
         Time begun = 0;
-        PollTimeouts::Next next = {};
+        PollTimeouts::NextPoll next = {};
         bool parked = false;
         int call = 0;                 // the one that is out; what concerns an older one is void
         std::vector<Time> told = {};  // by change, when
--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -156,7 +156,7 @@
     ReplicationStatus reported_status;  // of a load report that came with it; older
 };
 // The first bytes of an answer have come and go to the client; the rest follows.
-struct AnswerStarted {
+struct ResponseStarted {
     RequestId request = 0;
     int attempt = 0;
     EndpointId endpoint = 0;
@@ -174,8 +174,8 @@
     Micros latency_us = 0;
     ReplicationStatus reported_status;
 };
-using Event = std::variant<EndpointList, Arrival, AttemptEnded, AnswerStarted, ClientDisconnected, TimerFired,
-                           HealthCheckEnded>;
+using Event = std::variant<EndpointList, Arrival, AttemptEnded, ResponseStarted, ClientDisconnected,
+                           TimerFired, HealthCheckEnded>;
 
 // ---- actions ----
 
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -57,7 +57,7 @@
         return replica_groups_.count(replica_group) > 0;
     }
     // AttemptListener
-    bool on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
+    bool on_answer_started(const decision::ResponseStarted& start, const traffic::ResultValue& head,
                            std::size_t size, traffic::ResponseSource& source) override;
     void on_value_chunk(traffic::RequestId id, std::string_view bytes) override;
     void on_attempt_ended(const decision::AttemptEnded& end,
--- a/src/core/dispatch_loop/inputs.cpp
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -45,7 +45,7 @@
     return false;
 }
 
-bool DispatchLoop::on_answer_started(const decision::AnswerStarted& start, const traffic::ResultValue& head,
+bool DispatchLoop::on_answer_started(const decision::ResponseStarted& start, const traffic::ResultValue& head,
                                      std::size_t size, traffic::ResponseSource& source) {
     auto* request = requests_.find(start.request);
     if (!request || !request->sink || request->streaming_attempt) return false;
--- a/src/core/traffic/attempt.h
+++ b/src/core/traffic/attempt.h
@@ -39,7 +39,7 @@
     // A value too large to be buffered: its chunks follow, then on_attempt_ended with a value that holds the
     // command tag. `source` lives until then. Returns false if nobody waits for it: the sender ends the
     // attempt.
-    virtual bool on_answer_started(const decision::AnswerStarted& start, const ResultValue& head,
+    virtual bool on_answer_started(const decision::ResponseStarted& start, const ResultValue& head,
                                    std::size_t size, ResponseSource& source) = 0;
     virtual void on_value_chunk(RequestId request, std::string_view bytes) = 0;
     // `value` is present if and only if the outcome is ok.
--- a/src/decision/discovery_poll_schedule.cpp
+++ b/src/decision/discovery_poll_schedule.cpp
@@ -98,7 +98,7 @@
     timeout_us_ = settings.discovery_agent_is_local ? short_timeout_us_ : PollBackoff::kPollTimeoutUs;
 }
 
-PollTimeouts::Next PollTimeouts::next() const {
+PollTimeouts::NextPoll PollTimeouts::next() const {
     switch (last_result_) {
         case LastResult::list:
             return {hold_us_, hold_us_ + kHoldSlackUs};
--- a/src/decision/discovery_poll_schedule.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -61,11 +61,11 @@
     PollTimeouts(const Settings& settings, std::uint64_t seed);
 
     // The next poll, both times from its beginning, its connection included.
-    struct Next {
+    struct NextPoll {
         Micros hold_us;     // discovery may hold it back so long, whole milliseconds; 0: it answers at once
         Micros timeout_us;  // it is abandoned then
     };
-    Next next() const;
+    NextPoll next() const;
 
     // What became of the last poll, which was held (`hold_us` over 0) or not.
     void on_list(bool was_held);
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -168,7 +168,7 @@
 
     // The answer is the client's from its first bytes on; how long the rest takes says nothing of the
     // endpoint.
-    void on(const AnswerStarted& start, Actions& actions) {
+    void on(const ResponseStarted& start, Actions& actions) {
         AttemptEnded end;
         end.request = start.request;
         end.attempt = start.attempt;
--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -71,8 +71,8 @@
     bool connection_reused_ = false;               // by the current poll
     http::ResponseParser response_;
     decision::PollTimeouts timeouts_;
-    decision::PollTimeouts::Next current_poll_ = {};  // or the last one
-    Time poll_started_at_ = 0;                        // its connection attempt included
+    decision::PollTimeouts::NextPoll current_poll_ = {};  // or the last one
+    Time poll_started_at_ = 0;                            // its connection attempt included
     Deadline poll_timeout_;
     bool has_completed_poll_ = false;
 };
--- a/src/simulator_adapter/event_codec.cpp
+++ b/src/simulator_adapter/event_codec.cpp
@@ -112,8 +112,8 @@
     return out;
 }
 
-AnswerStarted read_answer_started(FieldReader& in) {
-    AnswerStarted out;
+ResponseStarted read_answer_started(FieldReader& in) {
+    ResponseStarted out;
     out.request = in.uint<std::uint64_t>();
     out.attempt = in.uint<std::uint8_t>();
     out.endpoint = in.uint<std::uint32_t>();
--- a/src/upstream/connection_pool/connection_pool_events.cpp
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -26,8 +26,8 @@
 bool ConnectionPool::on_value_started(UpstreamConnection& connection, const traffic::ResultValue& head,
                                       std::size_t size) {
     auto& attempt = *connections_.at(&connection).attempt;
-    const decision::AnswerStarted started{attempt.attempt.request, attempt.attempt.number,
-                                          attempt.attempt.endpoint, deadlines_.now() - attempt.started_at};
+    const decision::ResponseStarted started{attempt.attempt.request, attempt.attempt.number,
+                                            attempt.attempt.endpoint, deadlines_.now() - attempt.started_at};
     if (!attempt.is_health_check && listener_.on_answer_started(started, head, size, connection)) {
         attempt.attempt_timeout.clear();
         return true;
--- a/tests/decision/router_test.cpp
+++ b/tests/decision/router_test.cpp
@@ -66,7 +66,7 @@
     fixture.step();
     const auto to = fixture.forwarded_to(1);
     ASSERT_TRUE(to);
-    fixture.events.emplace_back(AnswerStarted{1, 0, *to, 30'000});
+    fixture.events.emplace_back(ResponseStarted{1, 0, *to, 30'000});
     fixture.step(30'000);
     for (int i = 0; i < 600; ++i) {
         fixture.fire_timer();
