--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -1,8 +1,9 @@
-// The interface of the decision module: the settings, what is reported to a router (events), what it answers
-// (actions), and the router itself. The module does no I/O, reads no clock and holds no thread; equal
-// settings, seeds and events give equal actions.
+// Public interface of the decision module: settings, events (input of a router), actions (its output) and the
+// router itself. The module performs no I/O, reads no clock and starts no threads. Equal settings, seeds and
+// events produce equal actions.
 //
-// All times are microseconds on the caller's clock; names that end in _us are durations in microseconds.
+// Times are in microseconds on the caller's clock, whose origin is arbitrary; names that end in `_us` are
+// durations in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -15,238 +16,268 @@
 
 namespace sloestack::decision {
 
-using Time = std::int64_t;
-using Micros = std::int64_t;
+using Time = std::int64_t;    // a point in time, in microseconds
+using Micros = std::int64_t;  // a duration, in microseconds
 using RequestId = std::uint64_t;
 using EndpointId = std::uint32_t;
 using SessionId = std::uint64_t;
 
-// What a read of a class asks of the data: any copy, one no older than a bound, one with all writes of the
-// client's own session, or the present.
+// Which data a read accepts: that of any endpoint; data no older than the class's staleness bound; data that
+// holds all writes of the client session; or data that holds all commits before the read's arrival.
 enum class Consistency { any, bounded_staleness, session, linearizable };
-// What forwarding a request again does: nothing more; nothing more within a window and a scope, by a key; it
-// may run twice.
+// Whether a request may be executed again: always; while endpoints remember its idempotency key (see
+// idempotency_window_us and IdempotencyScope); or never.
 enum class Idempotency { idempotent, keyed, none };
-// Where a keyed request that is forwarded again is recognised.
+// Which endpoints recognize the idempotency key of a request that one of them has executed.
 enum class IdempotencyScope { replica_group, zone, fleet };
-// What an endpoint does with a read for which it lags too far behind.
+// What an endpoint does with a read whose required position it has not applied: answers it from its older
+// data, rejects it (Outcome::not_eligible), or waits up to Settings::position_wait_us for the position.
 enum class PositionCheck { none, reject, wait };
-// Whether lists name a primary: never, the one at the start, or the present one some time late.
+// Which primary endpoint lists name: none, the initial one, or the current one with a delay.
 enum class ListedRole { none, initial, delayed };
 enum class Role { unknown, primary, replica };
 enum class EndpointState { removed, draining, ready };
 
-// Settings of one request class. Defaults are in the field's initializer; a class without a latency objective
-// and a deadline is rejected by `validate`.
+// Settings of one request class. `validate` requires a latency objective and a deadline.
 struct RequestClassSettings {
-    bool is_write = false;  // only the primary takes it; its consistency is linearizable then
+    bool is_write = false;  // forwarded to the primary only; `consistency` must be linearizable then
     Consistency consistency = Consistency::any;
     Idempotency idempotency = Idempotency::idempotent;
-    IdempotencyScope idempotency_scope = IdempotencyScope::replica_group;
-    Micros idempotency_window_us = 0;  // keyed: how long the key is remembered; over 0
-    Micros staleness_bound_us = 0;     // bounded_staleness: over 0
-    Micros latency_objective_us = 0;   // full priority weight within it; over 0
-    Micros deadline_us = 0;            // no weight after it; over 0
-    double priority_weight = 1;
-    double late_weight_ratio = 0;  // of the weight: what an answer between objective and deadline counts
+    IdempotencyScope idempotency_scope = IdempotencyScope::replica_group;  // used if keyed
+    Micros idempotency_window_us = 0;  // if keyed: how long endpoints remember the key; must be over 0
+    Micros staleness_bound_us = 0;     // if bounded_staleness: greatest age of the data; must be over 0
+    Micros latency_objective_us = 0;   // responses within it have the full priority weight; must be over 0
+    Micros deadline_us = 0;            // responses after it have no value; must be over 0
+    double priority_weight = 1;        // value of a response; queues are served by weight per work
+    // Value of a response between objective and deadline, as a ratio of priority_weight. Decisions do not use
+    // it.
+    double late_weight_ratio = 0;
 };
 
-// Settings of a router; they hold for its life.
+// Settings of a router; fixed for its lifetime.
 struct Settings {
-    std::vector<RequestClassSettings> classes;  // at least one; a request names its class by the index
-    int router_count = 1;                       // routers that share the fleet; at least 1
-    int router_index = -1;                      // this one's, from 0; -1: not known
-    int zone = 0;
+    std::vector<RequestClassSettings> classes;  // at least one; requests refer to a class by its index
+    int router_count = 1;  // routers that share the endpoints; at least 1. Budgets are divided by it
+    // Index of this router from 0, which selects its endpoint subset; -1: unknown, the seed is used instead.
+    int router_index = -1;
+    int zone = 0;  // of this router; endpoints of the same zone are preferred
 
-    bool discovery_is_polled = false;       // the router has to ask for the endpoint list
-    bool discovery_agent_is_local = false;  // ... and no other router asks the same agent
+    // ---- discovery ----
+    bool discovery_is_polled = false;       // the router starts with a PollDiscovery action
+    bool discovery_agent_is_local = false;  // polls go to an agent that no other router polls: short backoff
     ListedRole listed_role = ListedRole::none;
-    bool removal_is_advisory = false;  // only `draining` forbids forwarding; a removed endpoint may be used
+    // A removed endpoint may still get requests; only `draining` excludes it.
+    bool removal_is_advisory = false;
 
-    bool last_write_age_reported = false;  // session reads bring the age of their session's last write
+    // ---- replication ----
+    // Arrivals of session reads carry the age of the session's last write; otherwise the router records the
+    // position of each session's writes.
+    bool last_write_age_reported = false;
     PositionCheck position_check = PositionCheck::none;
-    Micros position_wait_us = 0;  // PositionCheck::wait: how long an endpoint waits to catch up
+    Micros position_wait_us = 0;  // with PositionCheck::wait: how long an endpoint waits for a position
 
-    bool health_checks_allowed = false;
-    bool health_checks_report_status = false;  // their results carry position and role
-    bool cancel_allowed = false;
-    bool hedging_allowed = false;  // a further attempt may be forwarded while another is in flight
-    bool retry_after_supported = false;
-    Micros max_retry_after_us = 0;
-    int max_attempts = 1;  // of one request; at least 1
+    // ---- actions that the caller supports ----
+    bool health_checks_allowed = false;        // enables StartHealthCheck and the detection of silent zones
+    bool health_checks_report_status = false;  // HealthCheckEnded carries position and role
+    bool cancel_allowed = false;               // enables Cancel
+    bool hedging_allowed = false;              // enables a Forward while another attempt is in flight
+    bool retry_after_supported = false;        // false: Reject::retry_after_us is always 0
+    Micros max_retry_after_us = 0;             // upper bound of Reject::retry_after_us
+    int max_attempts = 1;                      // per request; at least 1
 
-    double slow_start_min_capacity_ratio = 1;  // of its capacity, right after a start; in (0, 1]
-    Micros slow_start_duration_us = 0;         // until it has all of it
-    // A starting endpoint fails under this multiple of its present capacity for this long.
+    // ---- slow start ----
+    double slow_start_min_capacity_ratio = 1;  // capacity right after a start, of the full one; in (0, 1]
+    Micros slow_start_duration_us = 0;         // time until the full capacity; 0 disables slow start
+    // An endpoint in slow start fails if it receives overload_multiple times its current capacity for
+    // overload_window_us. Limits the rate and the burst that routers forward to it.
     double overload_multiple = 1;
     Micros overload_window_us = 0;
 
-    double cross_zone_cost = 0;  // over 0: reads prefer endpoints of the router's own zone
+    double cross_zone_cost = 0;  // if over 0, reads prefer endpoints of the router's zone
 };
 
-// Throws std::invalid_argument that names the setting which is absent or out of range.
+// Throws std::invalid_argument that names the first setting which is missing or out of range.
 void validate(const Settings& settings);
 
-// ---- events ----
+// ---- events: input of Router::step ----
 
 struct EndpointEntry {
     EndpointId endpoint = 0;
     int replica_group = 0;
     int zone = 0;
-    double size = 1;
-    bool listed_primary = false;
-    Time started_at = 0;  // 0: long ago
+    double size = 1;              // relative size of the endpoint; decisions do not use it
+    bool listed_primary = false;  // ignored with ListedRole::none
+    Time started_at = 0;          // when its process started; 0: not recently
     EndpointState state = EndpointState::ready;
 };
-// A list kept from before the start, the changes since the last one, a whole list, or a poll that brought
-// none.
+// Kind of an endpoint list: stored before the router's start; the entries changed since the previous list; a
+// complete list; or the result of a failed poll. Cached and complete lists remove endpoints that they omit.
 enum class EndpointListKind { cached, changes, complete, failed };
 struct FailedPoll {
-    bool rejected = false;              // there was an answer, but no list
-    std::optional<Micros> duration_us;  // since the poll's beginning; absent: as long as polls are waited for
+    bool rejected = false;              // discovery responded, but not with a list
+    std::optional<Micros> duration_us;  // of the poll; absent: PollBackoff::kPollTimeoutUs is assumed
 };
+// An endpoint list has been received, or a poll has failed. After `failed` the router sets a timer for the
+// next PollDiscovery; after a list the caller polls again by itself.
 struct EndpointList {
     EndpointListKind kind = EndpointListKind::complete;
-    std::shared_ptr<const std::vector<EndpointEntry>> entries;  // null where the kind is failed
-    FailedPoll failed_poll = {};                                // where the kind is failed
+    std::shared_ptr<const std::vector<EndpointEntry>> entries;  // null if the kind is failed
+    FailedPoll failed_poll = {};                                // used if the kind is failed
 };
 
-// A client's request. The router answers it by exactly one of: an attempt whose answer goes to the client,
-// Reject or Fail; or the client disconnects first.
+// A client's request has arrived. It ends in exactly one of these ways: the caller passes an attempt's
+// response to the client (AttemptEnded::request_ended or ResponseStarted), the router emits Reject or Fail,
+// or the client disconnects first.
 struct Arrival {
-    RequestId request = 0;
-    int request_class = 0;
-    int tenant = 0;
-    SessionId session = 0;  // 0: none
-    Time deadline = 0;      // the client gives the request up then
+    RequestId request = 0;  // differs from that of every request that has not ended
+    int request_class = 0;  // index into Settings::classes
+    int tenant = 0;         // decisions do not use it
+    SessionId session = 0;  // client session; 0: none
+    Time deadline = 0;      // the client stops waiting at this time
     int replica_group = 0;
-    std::optional<Micros> work_hint_us;
-    std::optional<Micros> last_write_age_us;  // of its session, see Settings::last_write_age_reported
-    bool is_retry = false;                    // the client sends it again
+    std::optional<Micros> work_hint_us;       // decisions do not use it
+    std::optional<Micros> last_write_age_us;  // of the session; see Settings::last_write_age_reported
+    bool is_retry = false;                    // marked as a retry by the client; decisions do not use it
 };
 
-// How an attempt or a health check ended.
+// Result of an attempt or a health check. `overloaded`, `connect_failed`, `expired` and `not_eligible` prove
+// that the attempt did not execute the request; after the others it may have been executed.
 enum class Outcome {
     ok,
-    error,           // the endpoint answered with an error; the request may have run
-    overloaded,      // the endpoint rejected it: its queue is full
-    timeout,         // no answer in time
-    connect_failed,  // no connection
+    error,           // the endpoint responded with an error
+    overloaded,      // the endpoint rejected it because its queue was full
+    timeout,         // no response within the time-out
+    connect_failed,  // no connection could be established
     reset,           // the connection broke
-    cancelled,
-    expired,      // it was never sent: its time was over or its client had gone
-    not_eligible  // the endpoint declined it: too far behind, or no primary
+    cancelled,       // by the caller, for instance after a Cancel action
+    expired,         // not sent: its time-out passed or its client disconnected before
+    not_eligible     // the endpoint declined it: it lags too far behind or is not the primary
 };
 constexpr std::size_t kOutcomeCount = static_cast<std::size_t>(Outcome::not_eligible) + 1;
 
-// What an answer or a load report says of the endpoint it comes from.
+// Replication status of an endpoint, from its response or its load report.
 struct ReplicationStatus {
     Role role = Role::unknown;
     std::optional<Time> position;  // all commits up to this time are applied
 };
+// An attempt has ended. The caller reports exactly one for every Forward action, also if the request has
+// ended before: until then the attempt counts as work in flight at its endpoint.
 struct AttemptEnded {
     RequestId request = 0;
-    int attempt = 0;  // from 0, in the order of the request's Forward actions
+    int attempt = 0;  // number of the attempt: the request's Forward actions counted from 0
     EndpointId endpoint = 0;
     Outcome outcome = Outcome::ok;
-    Micros latency_us = 0;
-    bool request_ended = false;         // by this attempt's answer, or before it
-    bool on_reused_connection = false;  // which had served before and may have been stale
-    ReplicationStatus status;           // of the answer itself
-    ReplicationStatus reported_status;  // of a load report that came with it; older
+    Micros latency_us = 0;  // from the start of the attempt to its end
+    // The response of this attempt was passed to the client, or the request had ended before. Otherwise the
+    // router retries the request or gives it up.
+    bool request_ended = false;
+    bool on_reused_connection = false;  // a reset of such a connection is not counted against the endpoint
+    ReplicationStatus status;           // from the response
+    ReplicationStatus reported_status;  // from a load report received with the response; older than `status`
 };
-// The first bytes of an answer have come and go to the client; the rest follows.
+// The first bytes of an attempt's response were passed to the client, and the rest is streamed. Ends the
+// request successfully; of the attempt's later AttemptEnded only the replication status is used.
 struct ResponseStarted {
     RequestId request = 0;
     int attempt = 0;
     EndpointId endpoint = 0;
-    Micros latency_us = 0;
+    Micros latency_us = 0;  // from the start of the attempt to the first byte
 };
+// The client is gone: ends the request without a response.
 struct ClientDisconnected {
     RequestId request = 0;
 };
+// The time of a SetTimer action is over.
 struct TimerFired {
-    std::uint32_t token = 0;  // of its SetTimer
+    std::uint32_t token = 0;  // SetTimer::token
 };
+// The health check of a StartHealthCheck action has ended.
 struct HealthCheckEnded {
     EndpointId endpoint = 0;
     Outcome outcome = Outcome::ok;
-    Micros latency_us = 0;
+    Micros latency_us = 0;  // from its start to its end
     ReplicationStatus reported_status;
 };
 using Event = std::variant<EndpointList, Arrival, AttemptEnded, ResponseStarted, ClientDisconnected,
                            TimerFired, HealthCheckEnded>;
 
-// ---- actions ----
+// ---- actions: output of Router::step, to be executed in order ----
 
-// Begin an attempt.
+// Start the request's next attempt at the endpoint, and report its end by AttemptEnded.
 struct Forward {
     RequestId request = 0;
     EndpointId endpoint = 0;
-    Micros timeout_us = 0;  // 0: it has until the request's deadline
-    // Where the request may have run before: the attempt's first byte is written within this time or never.
+    Micros timeout_us = 0;  // 0: until the request's deadline
+    // Set if an earlier attempt of a keyed request may have run: unless the first byte is written within this
+    // time, the attempt must not be sent.
     std::optional<Micros> begin_within_us = {};
 };
 
-// Why a request was given up.
+// Why a request was rejected or failed.
 enum class RejectionReason {
-    unknown_class,
-    write_throttled,         // replicas lag: the proportional throttle did not admit it
-    read_not_admitted,       // too few reads of its class are served in time
-    no_primary,              // no endpoint is known to take the write
-    no_eligible_endpoint,    // none is listed that it may use, or only the one it has just tried
-    ejected,                 // those that it may use are ejected, or their zone is silent
-    slow_start,              // the budget of a starting endpoint is spent
-    at_capacity,             // the endpoints hold as much as this router may give them
-    too_stale,               // there is capacity, but no data known to be as new as the class asks for
-    deadline_exceeded,       // an attempt was in flight, or waited for a connection, when its time was over
-    not_retryable,           // an attempt may have run, or no more are allowed
-    retry_budget_exhausted,  // too many further attempts for the requests that arrive
-    repeated_error,          // a second endpoint answered with an error
+    unknown_class,           // Arrival::request_class is not an index into Settings::classes
+    write_throttled,         // replicas lag, and the write throttle did not admit the write
+    read_not_admitted,       // too few reads of the class meet their latency objective
+    no_primary,              // no primary is known for a write
+    no_eligible_endpoint,    // no listed endpoint may be used, or only the one of the last attempt
+    ejected,                 // the endpoints that may be used are ejected or in a silent zone
+    slow_start,              // the slow-start budget of the endpoint is spent
+    at_capacity,             // the endpoints have no capacity left for this router
+    too_stale,               // there is capacity, but no endpoint known to meet the consistency
+    deadline_exceeded,       // the deadline passed during an attempt
+    not_retryable,           // an attempt may have run and must not be repeated, or max_attempts is reached
+    retry_budget_exhausted,  // the retry budget, a share of the arrivals, is spent
+    repeated_error,          // a second attempt ended with Outcome::error
 };
 constexpr std::size_t kRejectionReasonCount = static_cast<std::size_t>(RejectionReason::repeated_error) + 1;
 
-// Answer the client that nothing has run.
+// Respond to the client that its request was not executed or may safely be sent again.
 struct Reject {
     RequestId request = 0;
-    Micros retry_after_us = 0;  // 0: no advice
+    Micros retry_after_us = 0;  // Retry-After for the client; 0: none
     RejectionReason reason = RejectionReason::unknown_class;
 };
-// Answer the client that the request failed; it may have run.
+// Respond to the client that the request failed and may have been executed.
 struct Fail {
     RequestId request = 0;
     RejectionReason reason = RejectionReason::unknown_class;
 };
+// Abandon an attempt of a request that has ended. Its AttemptEnded is still to be reported.
 struct Cancel {
     RequestId request = 0;
     int attempt = 0;
 };
+// Report TimerFired with the token once, after the delay.
 struct SetTimer {
     Micros delay_us = 0;
     std::uint32_t token = 0;
 };
+// Check the endpoint's health, and report HealthCheckEnded.
 struct StartHealthCheck {
     EndpointId endpoint = 0;
 };
+// Start to poll discovery, and report EndpointList for each list that is received and for a failure.
 struct PollDiscovery {};
+// Write a line to the log.
 struct Log {
     std::string text;
 };
 using Action = std::variant<Forward, Reject, Fail, Cancel, SetTimer, StartHealthCheck, PollDiscovery, Log>;
 
-// One router. It is not safe for use by several threads.
+// Decides for one proxy which endpoint serves which request. Not thread-safe.
 class Router {
 public:
-    // Throws std::invalid_argument that names the setting which cannot be run.
+    // Copies the settings. `seed` determines all random draws. Throws std::invalid_argument as `validate`.
     Router(Settings settings, std::uint64_t seed);
     ~Router();
     Router(Router&&) noexcept;
     Router& operator=(Router&&) noexcept;
 
-    // Takes in all that has happened by `now`, which never goes back, as one step, and appends what is to be
-    // done at once.
+    // Processes the events that have occurred by `now`, in their order, and appends the resulting actions to
+    // `actions`. `now` must not decrease from one call to the next. The first call starts the router's
+    // timers; events are processed only in this call.
     void step(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
-    // Of the endpoints that may be forwarded to, those that this router avoids: ejected, or in a silent zone.
+    // Returns the number of endpoints that are ejected or in a silent zone, and neither draining nor removed.
     std::size_t ejected_endpoint_count() const;
 
 private:
--- a/src/decision/conversions.h
+++ b/src/decision/conversions.h
@@ -1,5 +1,4 @@
-// Conversions between integer microseconds and floating point, spelled out where the decision module computes
-// rates and ratios.
+// Conversions between integer microseconds and floating point, for computing rates and ratios.
 #pragma once
 
 #include <cstdint>
@@ -9,6 +8,7 @@
 namespace sloestack::decision {
 
 constexpr double as_double(std::int64_t value) { return static_cast<double>(value); }
+// Rounds towards zero.
 constexpr Micros as_micros(double value) { return static_cast<Micros>(value); }
 constexpr double kMicrosPerSecond = 1e6;
 
--- a/src/decision/discovery_poll_schedule.h
+++ b/src/decision/discovery_poll_schedule.h
@@ -1,24 +1,25 @@
-// When a router polls discovery for the endpoint list, and how long a poll may take: the one schedule of all
-// polls. Time is not looked at, and draws are passed in. `PollBackoff` says when to poll, `PollTimeouts` how
-// long a poll may take; both go by what became of the polls before, which is all that a router knows of how
-// many others poll and of what discovery can take.
+// When a router polls discovery for the endpoint list (PollBackoff), and how long a poll may take
+// (PollTimeouts). Both adapt to the results of earlier polls, the only information that a router has about
+// the load of discovery. Neither reads a clock; random draws are arguments.
 //
-// Discovery holds a poll back ("long poll") for the time that the poll asks for, while it has nothing new.
+// Discovery holds a long poll: without a change to report, it delays the response for the hold time that the
+// poll requests.
 //
-// Whatever happens to polls, a change counts as notified `kNotificationBoundUs` after discovery had it and
-// could be reached. So the longest chain of waits between a change and the list that tells of it is bounded;
-// the static assertions in the implementation spell the chains out (docs/design/crossings.md has the table):
+// By the operators' rules a change counts as notified `kNotificationBoundUs` after discovery had it and was
+// reachable, whether or not a poll has returned it by then. The time between a change and the list that
+// contains it is therefore bounded. Its longest chains of waits are (checked by the static assertions in the
+// implementation; docs/design/crossings.md has the table):
 //
-//   a held poll fell silent as the change came:   hold + slack, then a poll at once with the short timeout
-//   a poll failed as the change came:             the poll interval, then the poll timeout
-//   both, where few routers share discovery:      hold + slack + short timeout + backoff + short timeout
+//   a long poll gets no response:           hold + slack, then a poll at once with the short time-out
+//   a poll fails:                           the poll interval, then the poll time-out
+//   both, if few routers share discovery:   hold + slack + short time-out + backoff + short time-out
 //
-// A poll that discovery has let in is waited for longer than discovery lets a poll wait in its own queue (2 s
-// at most, by the operators' settings): to abandon it sooner and poll again wastes discovery's work, and many
-// routers that do so keep its queue full for each other.
+// A poll waits longer than discovery may queue it (2 s at most, by the operators' settings). To abandon a
+// poll earlier and poll again would waste the work that discovery has done for it, and with many routers
+// would keep discovery's queue full.
 //
-// Where lists are pushed, discovery is a local agent that no other router polls, and what it has counts as
-// notified at once: it is polled at the start, and again within 0.1 s of a failure.
+// If endpoint lists are pushed, discovery is a local agent that no other router polls, and a change counts as
+// notified as soon as the agent has it. The agent is polled at the start, and within 0.1 s after a failure.
 #pragma once
 
 #include <cstdint>
@@ -29,65 +30,67 @@
 
 class PollBackoff {
 public:
-    // Of the settings: how many routers, over 0, share discovery, and whether it is a local agent.
+    // Uses `router_count`, the number of routers that share discovery, and `discovery_agent_is_local`.
     explicit PollBackoff(const Settings& settings);
 
-    // From the start to the first poll, at least 1 us; `draw` lies in [0, 1).
+    // Returns the delay from the start to the first poll, at least 1 us. `draw` is uniform in [0, 1).
     Micros first_poll_delay(double draw) const;
-    // From a failed poll's end to the next poll, at least 1 us. Exponential backoff with full jitter, longer
-    // after a rejection: discovery is there and has too much to do.
+    // Returns the delay from the end of a failed poll to the next poll, at least 1 us: exponential backoff
+    // with full jitter, longer after a rejection, which shows that discovery is overloaded. `draw` is uniform
+    // in [0, 1).
     Micros delay_after_failure(const FailedPoll& poll, double draw);
-    // A list has come: the backoff starts again from its first step.
+    // Resets the backoff to its first step.
     void on_list_received() { failures_ = 0; }
 
-    static constexpr Micros kNotificationBoundUs = 6'000'000;  // of the operators' rules
-    static constexpr Micros kPollTimeoutUs = 2'300'000;  // discovery's queue, 2 s, and the way there and back
-    static constexpr Micros kMaxPollIntervalUs =
-        3'500'000;  // from the beginning of a failed poll to the next
+    static constexpr Micros kNotificationBoundUs = 6'000'000;  // required by the operators' rules
+    static constexpr Micros kPollTimeoutUs = 2'300'000;        // discovery's queue, 2 s, plus the round trip
+    static constexpr Micros kMaxPollIntervalUs = 3'500'000;    // from the start of a failed poll to the next
     static constexpr Micros kLocalAgentMaxBackoffUs = 100'000;
 
 private:
     bool is_local_agent_;
     Micros first_poll_window_us_;
-    Micros first_backoff_us_;  // the longest delay after a poll that nobody answered
-    int failures_ = 0;         // in a row
+    Micros first_backoff_us_;  // maximum delay after the first poll without a response
+    int failures_ = 0;         // consecutive
 };
 
 class PollTimeouts {
 public:
-    // `seed` tells this router from the others and draws how long its first long poll is held: polls that
-    // begin together would end together ever after. Many routers poll less often each, and those whose long
-    // polls are rejected again and again less often still.
+    // `seed` differs from router to router and determines the hold time of the first long poll: with equal
+    // hold times, polls that start together would stay synchronized. The hold time grows with the number of
+    // routers, and further while long polls are rejected.
     PollTimeouts(const Settings& settings, std::uint64_t seed);
 
-    // The next poll, both times from its beginning, its connection included.
+    // Times of the next poll, measured from its start, which includes connecting.
     struct NextPoll {
-        Micros hold_us;     // discovery may hold it back so long, whole milliseconds; 0: it answers at once
-        Micros timeout_us;  // it is abandoned then
+        Micros hold_us;     // how long discovery may hold it, in whole milliseconds; 0: not a long poll
+        Micros timeout_us;  // when the router abandons it
     };
     NextPoll next() const;
 
-    // What became of the last poll, which was held (`hold_us` over 0) or not.
-    void on_list(bool was_held);
-    void on_rejection(bool was_held);  // an answer that is no list
-    void on_silence(bool was_held);    // no answer in time, or its connection broke
-    // Discovery is at another address: nothing is known of that one.
+    // Result of the last poll; `was_long_poll` if its `hold_us` was over 0.
+    void on_list(bool was_long_poll);
+    void on_rejection(bool was_long_poll);  // a response other than a list
+    void on_silence(bool was_long_poll);    // no response in time, or the connection broke
+    // Discovery's address has changed: the next poll is not a long poll.
     void on_address_change() { last_result_ = LastResult::silence; }
 
-    static constexpr Micros kHoldSlackUs = 600'000;  // after a hold: empty answers come up to 0.3 s late
+    // Time for the response after the hold time: responses without changes are up to 0.3 s late.
+    static constexpr Micros kHoldSlackUs = 600'000;
     static constexpr Micros kMaxHoldUs = 12'000'000;
 
 private:
-    // A poll is held only after an answer of whatever kind: a long poll shows nothing until its end.
+    // Long polls follow only a response of any kind: a long poll does not show before its end whether
+    // discovery is reachable.
     enum class LastResult { silence, list, rejection };
 
     LastResult last_result_ = LastResult::silence;
-    Micros usual_hold_us_;
+    Micros default_hold_us_;
     Micros hold_us_;
     Micros short_timeout_us_;
     Micros timeout_us_;
-    int short_polls_left_ = 0;  // after a silence, polls with the short timeout
-    int held_rejections_ = 0;   // long polls rejected in a row
+    int short_timeout_polls_left_ = 0;  // polls with the short time-out after a long poll without a response
+    int consecutive_long_poll_rejections_ = 0;
 };
 
 }  // namespace sloestack::decision
--- a/src/decision/endpoint.h
+++ b/src/decision/endpoint.h
@@ -1,5 +1,5 @@
-// What a router knows of one endpoint. Each part belongs to the rule that its comment names; other rules read
-// it through that rule.
+// State of one endpoint. Each part is maintained by the component that its comment names; other components
+// only read it.
 #pragma once
 
 #include <map>
@@ -11,39 +11,39 @@
 
 namespace sloestack::decision {
 
-// An attempt that has been forwarded and has not ended.
+// An attempt in flight.
 struct InFlightAttempt {
     Time sent_at = 0;
     double expected_latency_us = 0;
-    double work_s = 0;  // seconds of usual service of its class
+    double work_s = 0;  // seconds of work; see LatencyBaseline::work_s
 };
 
-// replication_lag: how far it has applied the log.
+// Maintained by replication_lag.
 struct ReplicationState {
-    Time position = -1;     // -1: never reported
-    Time reported_at = -1;  // when the position was learned
+    Time position = -1;     // newest reported position; -1: none
+    Time reported_at = -1;  // when it was reported
     Micros lag_us = 0;      // behind the primary at that time
     PositionHistory history;
 };
 
-// outlier_detection: how it answers, and whether it is ejected.
+// Maintained by outlier_detection.
 struct OutlierState {
-    double latency_ratio = 1;  // smoothed latency over the usual one of the request's class
+    double latency_ratio = 1;  // smoothed latency relative to the baseline of the request class
     Time latency_updated_at = 0;
-    Time answered_at = -1;
-    int disconnects = 0;  // in a row: connections broken or not made since the last answer
-    int unanswered = 0;   // attempts that timed out or did not connect since the last answer
+    Time last_response_at = -1;
+    int consecutive_disconnects = 0;  // resets and failed connects since the last response
+    int unanswered_attempts = 0;      // time-outs and failed connects since the last response
     bool is_ejected = false;
     Time ejected_at = 0;
     Time next_trial_at = 0;
     Micros trial_interval_us = 0;
 };
 
-// slow_start: its warm-up after a start.
+// Maintained by slow_start.
 struct SlowStartState {
-    Time started_at = -1;  // -1: not known to have started lately
-    Time credited_at = -1;
-    double credit_s = 0;  // seconds of work that may be forwarded now
+    Time started_at = -1;  // -1: no recent start is known
+    Time credit_updated_at = -1;
+    double credit_s = 0;  // budget: seconds of work that may be forwarded now
 };
 
 struct Endpoint {
@@ -51,29 +51,28 @@
     int replica_group = 0;
     int zone = 0;
 
-    // endpoint_registry
+    // Maintained by endpoint_registry.
     bool is_draining = false;
-    bool is_in_subset = true;  // used before the endpoints outside this router's subset
-    Time removal_notified_at =
-        -1;  // when it was first reported draining, or removed where removal is binding; -1: in service
+    bool is_in_subset = true;  // preferred over endpoints outside this router's subset
+    // When discovery first reported it draining, or removed if removal is not advisory; -1: in service.
+    Time removal_notified_at = -1;
 
-    // primary_tracker
+    // Maintained by primary_tracker.
     Role role = Role::unknown;
-    Time role_at = -1;  // when the role was learned
+    Time role_at = -1;  // when the role was reported
 
     ReplicationState replication;
     OutlierState outlier;
     SlowStartState slow_start;
 
-    // load_balancer
+    // Maintained by request_lifecycle and outlier_detection.
     std::map<std::pair<RequestId, int>, InFlightAttempt> in_flight;  // by request and attempt number
     double in_flight_work_s = 0;
-    DecayingRate work_done{kLongRateWindowUs};  // seconds of usual service completed
+    DecayingRate work_done{kLongRateWindowUs};  // seconds of work completed successfully
 
-    // Discovery has reported it draining, or removed where removal is binding: nothing new may be forwarded
-    // to it.
+    // Whether it is draining, or removed and removal is not advisory: no new attempts may be forwarded to it.
     bool is_leaving() const { return removal_notified_at >= 0; }
-    // Removed, and not merely draining.
+    // Whether it is leaving because it was removed.
     bool is_removed() const { return is_leaving() && !is_draining; }
 };
 
--- a/src/decision/endpoint_registry.cpp
+++ b/src/decision/endpoint_registry.cpp
@@ -8,7 +8,7 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr Micros kRemovedRetentionUs = 60'000'000;  // bounds growth where endpoints are replaced for good
+constexpr Micros kRemovedRetentionUs = 60'000'000;  // bounds memory if endpoints are replaced continually
 
 }  // namespace
 
@@ -16,13 +16,13 @@
                              Actions& actions) {
     if (kind != EndpointListKind::changes) remove_unlisted(entries, actions);
     for (const auto& entry : entries) apply(entry, actions);
-    for (const auto& [id, group] : state_.groups) draw_subset(group);
+    for (const auto& [id, group] : state_.groups) update_subset(group);
 }
 
 void EndpointRegistry::remove_unlisted(const std::vector<EndpointEntry>& entries, Actions& actions) {
     for (auto& [id, endpoint] : state_.endpoints) {
-        const auto names_it = [id = id](const EndpointEntry& entry) { return entry.endpoint == id; };
-        if (std::none_of(entries.begin(), entries.end(), names_it)) remove(endpoint, actions);
+        const auto has_id = [id = id](const EndpointEntry& entry) { return entry.endpoint == id; };
+        if (std::none_of(entries.begin(), entries.end(), has_id)) remove(endpoint, actions);
     }
 }
 
@@ -34,7 +34,7 @@
     const bool has_restarted = entry.started_at > 0 && entry.started_at > endpoint.slow_start.started_at;
     if (has_restarted && state_.now - entry.started_at < state_.settings.slow_start_duration_us) {
         SlowStart::begin(endpoint, entry.started_at);
-        endpoint.outlier.next_trial_at = state_.now;  // it runs again: no need to wait for the next trial
+        endpoint.outlier.next_trial_at = state_.now;  // it has restarted: try it at once
     }
     const bool was_leaving = endpoint.is_leaving();
     endpoint.is_draining = entry.state == EndpointState::draining;
@@ -54,8 +54,9 @@
     endpoint.id = entry.endpoint;
     endpoint.replica_group = entry.replica_group;
     endpoint.zone = entry.zone;
-    auto& members = state_.group(entry.replica_group).members;
-    members.insert(std::lower_bound(members.begin(), members.end(), entry.endpoint), entry.endpoint);
+    auto& endpoint_ids = state_.group(entry.replica_group).endpoint_ids;
+    endpoint_ids.insert(std::lower_bound(endpoint_ids.begin(), endpoint_ids.end(), entry.endpoint),
+                        entry.endpoint);
     return endpoint;
 }
 
@@ -64,13 +65,14 @@
     endpoint.is_draining = false;
     if (!endpoint.is_leaving() && !is_advisory) endpoint.removal_notified_at = state_.now;
     auto& group = state_.group(endpoint.replica_group);
-    // Where removal is advisory a primary that answers stays one: the list may be wrong.
-    if (group.primary == endpoint.id && !is_advisory) primary_tracker_.lose(group, " removed", actions);
+    // If removal is advisory, the list may be wrong: the primary is kept while it responds.
+    if (group.primary == endpoint.id && !is_advisory)
+        primary_tracker_.clear_primary(group, " removed", actions);
 }
 
-void EndpointRegistry::draw_subset(const ReplicaGroup& group) {
+void EndpointRegistry::update_subset(const ReplicaGroup& group) {
     std::vector<SubsetCandidate> candidates;
-    for (const auto id : group.members) {
+    for (const auto id : group.endpoint_ids) {
         auto& endpoint = state_.endpoints.at(id);
         endpoint.is_in_subset = false;
         if (!endpoint.is_leaving()) candidates.push_back({id, endpoint.zone});
@@ -80,7 +82,7 @@
         state_.endpoints.at(id).is_in_subset = true;
 }
 
-std::map<int, Time> EndpointRegistry::forget_removed() {
+std::map<int, Time> EndpointRegistry::erase_removed() {
     std::map<int, Time> oldest_positions;
     for (auto entry = state_.endpoints.begin(); entry != state_.endpoints.end();) {
         const auto& endpoint = entry->second;
@@ -95,8 +97,8 @@
             ++entry;
             continue;
         }
-        auto& members = state_.group(endpoint.replica_group).members;
-        members.erase(std::find(members.begin(), members.end(), endpoint.id));
+        auto& endpoint_ids = state_.group(endpoint.replica_group).endpoint_ids;
+        endpoint_ids.erase(std::find(endpoint_ids.begin(), endpoint_ids.end(), endpoint.id));
         entry = state_.endpoints.erase(entry);
     }
     return oldest_positions;
--- a/src/decision/endpoint_registry.h
+++ b/src/decision/endpoint_registry.h
@@ -1,5 +1,5 @@
-// The endpoints that discovery has listed: lists applied, draining and removal, the subset that this router
-// uses first, and how long a removed endpoint is remembered.
+// Applies endpoint lists: adds endpoints, marks them as draining or removed, selects this router's subset and
+// erases endpoints some time after their removal.
 #pragma once
 
 #include <map>
@@ -11,21 +11,22 @@
 
 class EndpointRegistry {
 public:
-    // `subset_key` tells this router from the others in the draw of subsets.
+    // `subset_key` identifies this router in the selection of subsets. The references must outlive this.
     EndpointRegistry(RouterState& state, PrimaryTracker& primary_tracker, std::uint64_t subset_key)
         : state_(state), primary_tracker_(primary_tracker), subset_key_(subset_key) {}
 
-    // Takes over a list that is not a failure. Whole lists remove the endpoints that they do not name.
+    // Applies a list; `kind` is not `failed`. Cached and complete lists remove endpoints that they omit.
     void apply(EndpointListKind kind, const std::vector<EndpointEntry>& entries, Actions& actions);
-    // Forgets endpoints that were removed long ago. Returns the oldest position of the others, by group.
-    std::map<int, Time> forget_removed();
+    // Erases endpoints that were removed more than 60 s ago and have no attempts in flight. Returns the
+    // oldest position among the endpoints that are not removed, by replica group.
+    std::map<int, Time> erase_removed();
 
 private:
     void remove_unlisted(const std::vector<EndpointEntry>& entries, Actions& actions);
     void apply(const EndpointEntry& entry, Actions& actions);
     Endpoint& find_or_add(const EndpointEntry& entry);
     void remove(Endpoint& endpoint, Actions& actions);
-    void draw_subset(const ReplicaGroup& group);
+    void update_subset(const ReplicaGroup& group);
 
     RouterState& state_;
     PrimaryTracker& primary_tracker_;
--- a/src/decision/endpoint_subset.cpp
+++ b/src/decision/endpoint_subset.cpp
@@ -8,13 +8,13 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kRoutersPerEndpoint = 150;  // that use it first: bounds the connections to it
-constexpr std::size_t kMinSubsetSize = 2;    // one that fails leaves another
-constexpr double kOwnZoneWeight = 2;         // as in the load balancer's draw
+constexpr double kRoutersPerEndpoint = 150;  // routers that prefer an endpoint: bounds its connections
+constexpr std::size_t kMinSubsetSize = 2;    // if one endpoint fails, another is left
+constexpr double kOwnZoneWeight = 2;         // equals the ratio in the load balancer's draw
 constexpr std::uint64_t kEndpointMultiplier = 0xd1342543de82ef95u;
 constexpr double kTwoToThe53 = 9007199254740992.0;
 
-// The candidates with the lowest scores are chosen.
+// Returns an exponentially distributed score; the candidates with the lowest scores are selected.
 double score(std::uint64_t router_key, const SubsetCandidate& candidate, double weight) {
     const auto router_hash = split_mix(router_key + kSplitMixIncrement);
     const auto hash = split_mix(router_hash ^ (candidate.endpoint * kEndpointMultiplier));
--- a/src/decision/endpoint_subset.h
+++ b/src/decision/endpoint_subset.h
@@ -1,9 +1,9 @@
-// Which endpoints of a group one router of many uses first, so that each endpoint serves some of the routers
-// and holds the connections of no more.
+// Endpoint subsetting: which endpoints of a replica group a router prefers. If many routers share the
+// endpoints, each uses a subset, which bounds the connections per endpoint.
 //
-// Weighted rendezvous hashing (Thaler and Ravishankar 1998; the weights as in Schindelhauer and Schomaker
-// 2005, the logarithmic method): an endpoint or a router that joins or leaves moves only its own places.
-// Pure.
+// Weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by the logarithmic method of
+// Schindelhauer and Schomaker 2005): an endpoint or a router that joins or leaves changes only its own
+// assignments. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,13 @@
     EndpointId endpoint = 0;
     int zone = 0;
 };
-// How many of `endpoint_count` endpoints each of `router_count` routers (both over 0) uses first: all of them
-// where routers are few, two at least.
+
+// Returns the number of endpoints in the subset of each of `router_count` routers. Both arguments are over 0.
+// At least 2 (or all, if there are fewer), and all endpoints if there are 150 routers or fewer.
 std::size_t subset_size(std::size_t endpoint_count, int router_count);
-// The endpoints of the subset, sorted. `router_key` tells the router from the others; endpoints of its own
-// `zone` are more likely to be chosen.
+
+// Returns the endpoints of a router's subset, sorted. `router_key` identifies the router; endpoints of its
+// `zone` have twice the weight of others.
 std::vector<EndpointId> select_subset(std::uint64_t router_key, int zone,
                                       const std::vector<SubsetCandidate>& candidates, int router_count);
 
--- a/src/decision/latency_baseline.h
+++ b/src/decision/latency_baseline.h
@@ -1,5 +1,5 @@
-// The usual latency of each request class, learned from answers, and the work that a request of it costs. It
-// is the unit in which all other rules compare endpoints and budgets.
+// Baseline latency of each request class, learned from responses. It is the unit of work in which endpoints
+// and budgets are compared.
 #pragma once
 
 #include <vector>
@@ -8,31 +8,32 @@
 
 namespace sloestack::decision {
 
-constexpr double kMaxLatencyRatio = 10;        // a single answer counts as no slower than that
-constexpr double kLatencyDecreaseStep = 0.08;  // smoothing of a latency ratio downwards
+constexpr double kMaxLatencyRatio = 10;        // greater ratios of single responses are clamped to it
+constexpr double kLatencyDecreaseStep = 0.08;  // smoothing factor for decreasing latency ratios
 
 class LatencyBaseline {
 public:
+    // Keeps a reference to `classes`, which must outlive this.
     explicit LatencyBaseline(const std::vector<RequestClassSettings>& classes);
 
-    double usual_us(std::size_t class_index) const { return usual_us_[class_index]; }
-    double shortest_usual_us() const;
-    // Seconds of service that a request of the class usually takes.
+    double baseline_us(std::size_t class_index) const { return baseline_us_[class_index]; }
+    double min_baseline_us() const;
+    // Returns the work of a request of the class: its baseline latency in seconds.
     double work_s(std::size_t class_index) const;
-    // Latency over the usual one of the class.
+    // Returns the latency relative to the baseline of the class.
     double ratio(std::size_t class_index, Micros latency_us) const;
-    // Takes the ratio of one attempt into the class's usual latency.
-    void learn(std::size_t class_index, double latency_ratio);
-    // Takes the ratio of one answered attempt into the fleet's.
-    void learn_fleet(double latency_ratio);
-    // Smoothed ratio of all answered attempts: over 1 while the whole fleet is slow.
+    // Adjusts the baseline of the class by the latency ratio of one attempt.
+    void update(std::size_t class_index, double latency_ratio);
+    // Adds the latency ratio of one attempt with a response to the fleet's ratio.
+    void update_fleet(double latency_ratio);
+    // Returns the smoothed latency ratio over all endpoints; over 1 while the whole fleet is slow.
     double fleet_ratio() const { return fleet_ratio_; }
-    // Class indices in order of priority weight for the work, highest first.
-    std::vector<std::size_t> by_weight_for_work() const;
+    // Returns the class indices, ordered by priority weight per work, highest first.
+    std::vector<std::size_t> classes_by_weight_per_work() const;
 
 private:
     const std::vector<RequestClassSettings>& classes_;
-    std::vector<double> usual_us_;
+    std::vector<double> baseline_us_;
     double fleet_ratio_ = 1;
 };
 
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -6,22 +6,25 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kQueueingObjectiveRatio =
-    0.33;                                 // of the latency objective: the wait let build up at an endpoint
-constexpr double kMinFleetRequests = 12;  // in flight at one endpoint, all routers together
-constexpr double kMinRouterRequests = 2;  // and of one router: else it learns nothing of the endpoint
-constexpr double kPrimaryReadCapacityShare =
-    0.5;                                    // of a replica's capacity: what reads may use at the primary
-constexpr double kPrimaryReadWeight = 0.5;  // in the draw: the primary is needed for writes
+// Share of the latency objective that requests may wait in an endpoint's queue.
+constexpr double kQueueingObjectiveRatio = 0.33;
+// Minimum capacity of an endpoint, in requests: of all routers together, and of each router, which otherwise
+// would get no responses to learn from.
+constexpr double kMinFleetRequests = 12;
+constexpr double kMinRouterRequests = 2;
+// Share of the primary's capacity that reads other than linearizable ones may use; the rest is for writes.
+constexpr double kPrimaryReadCapacityShare = 0.5;
+constexpr double kPrimaryReadWeight = 0.5;  // weight of the primary in the draw for reads
 constexpr double kOtherZoneWeight = 0.5;
-// Reads of any staleness that are expected to take longer go on to the next endpoint; of the objective.
-constexpr double kCrowdedObjectiveRatio = 0.5;
-// Reads of any staleness that usually take so many times the shortest class are kept on few endpoints.
+// An endpoint is congested for a request if the expected latency reaches this share of its latency objective.
+constexpr double kCongestedObjectiveRatio = 0.5;
+// Reads of Consistency::any whose baseline latency is this multiple of the shortest one are long reads, which
+// are concentrated on few endpoints.
 constexpr double kLongReadFactor = 2.5;
-constexpr double kDrawExponent = 2;  // sharpness of the draw by latency times work in flight
+constexpr double kDrawExponent = 2;  // greater values prefer the endpoints of lowest cost more strongly
 
-// Of the reasons of several endpoints one is reported: that of the endpoint which came closest to being used.
-// In this order, from least to most telling.
+// Rank of a rejection reason. If several endpoints are blocked for different reasons, the one of highest rank
+// is reported: that of the endpoint which came closest to being used.
 int precedence(RejectionReason reason) {
     switch (reason) {
         case RejectionReason::no_eligible_endpoint:
@@ -35,26 +38,26 @@
         case RejectionReason::too_stale:
             return 5;
         default:
-            return 0;  // never a reason of a single endpoint
+            return 0;  // not a reason of a single endpoint
     }
 }
 
-void note_blocked(Request& request, RejectionReason reason) {
+void record_blocked_reason(Request& request, RejectionReason reason) {
     if (precedence(reason) > precedence(request.blocked_reason)) request.blocked_reason = reason;
 }
 
 }  // namespace
 
-// The endpoints that a read might go to, gathered while they are looked at.
+// Candidates for a read, collected while the endpoints are evaluated.
 struct LoadBalancer::ReadCandidates {
-    bool is_long_read = false;  // fills up one endpoint after the other
-    Endpoint* drawn = nullptr;
-    Endpoint* least_slow = nullptr;  // of the crowded ones, for long reads
-    double total_weight = 0;
-
-    void note_crowded(Endpoint& endpoint, Time now) {
-        if (!least_slow || latency_ratio(endpoint, now) < latency_ratio(*least_slow, now))
-            least_slow = &endpoint;
+    bool is_long_read = false;  // uses the first endpoint that is not congested, without a draw
+    Endpoint* sampled_endpoint = nullptr;
+    Endpoint* least_congested = nullptr;  // of the congested ones; for long reads
+    double total_weight = 0;              // of all endpoints in the draw so far
+
+    void record_congested(Endpoint& endpoint, Time now) {
+        if (!least_congested || latency_ratio(endpoint, now) < latency_ratio(*least_congested, now))
+            least_congested = &endpoint;
     }
 };
 
@@ -74,7 +77,7 @@
     auto* primary = primary_tracker_.usable_primary(group);
     const bool needs_primary = state_.class_of(request).consistency == Consistency::linearizable && primary &&
                                !primary->outlier.is_ejected && read_consistency_.trusts_primary(*primary);
-    if (needs_primary && retry_policy_.may_use(request, *primary, state_.now) &&
+    if (needs_primary && retry_policy_.may_forward_to(request, *primary, state_.now) &&
         has_capacity(*primary, request, 1))
         return {primary};
     return choose_for_read(group, request);
@@ -84,7 +87,7 @@
     request.blocked_reason = RejectionReason::no_primary;
     auto* primary = primary_tracker_.usable_primary(group);
     if (!primary) return {primary_tracker_.trial_candidate(group, request)};
-    if (!retry_policy_.may_use(request, *primary, state_.now)) return {};
+    if (!retry_policy_.may_forward_to(request, *primary, state_.now)) return {};
     if (has_capacity(*primary, request, 1)) return {primary};
     request.blocked_reason = slow_start_.is_active(*primary, state_.now) ? RejectionReason::slow_start
                                                                          : RejectionReason::at_capacity;
@@ -94,9 +97,10 @@
 EndpointChoice LoadBalancer::choose_for_read(ReplicaGroup& group, Request& request) {
     request.blocked_reason = RejectionReason::no_eligible_endpoint;
     ReadCandidates candidates;
-    candidates.is_long_read = state_.class_of(request).consistency == Consistency::any &&
-                              state_.usual_us(request) > kLongReadFactor * state_.latency.shortest_usual_us();
-    // The endpoints of this router's subset first; the others only where the subset has none.
+    candidates.is_long_read =
+        state_.class_of(request).consistency == Consistency::any &&
+        state_.baseline_us(request) > kLongReadFactor * state_.latency.min_baseline_us();
+    // Endpoints outside this router's subset are used only if none of the subset can take the request.
     auto choice = choose_from(true, group, request, candidates);
     if (!choice.endpoint) choice = choose_from(false, group, request, candidates);
     return choice;
@@ -104,84 +108,87 @@
 
 EndpointChoice LoadBalancer::choose_from(bool in_subset, ReplicaGroup& group, Request& request,
                                          ReadCandidates& candidates) {
-    for (const auto id : group.members) {
+    for (const auto id : group.endpoint_ids) {
         auto& endpoint = state_.endpoints.at(id);
         if (endpoint.is_in_subset != in_subset) continue;
-        const auto verdict = consider(endpoint, group, request, candidates);
-        if (verdict == Verdict::taken) return {&endpoint};
-        if (verdict == Verdict::trial) return {&endpoint, true};
+        const auto evaluation = evaluate(endpoint, group, request, candidates);
+        if (evaluation == Evaluation::chosen) return {&endpoint};
+        if (evaluation == Evaluation::trial) return {&endpoint, true};
     }
-    return {candidates.least_slow ? candidates.least_slow : candidates.drawn};
+    return {candidates.least_congested ? candidates.least_congested : candidates.sampled_endpoint};
 }
 
-LoadBalancer::Verdict LoadBalancer::consider(Endpoint& endpoint, ReplicaGroup& group, Request& request,
-                                             ReadCandidates& candidates) {
-    if (!is_eligible(endpoint, request)) return Verdict::skipped;
-    if (endpoint.outlier.is_ejected) return consider_ejected(endpoint, group, request);
+LoadBalancer::Evaluation LoadBalancer::evaluate(Endpoint& endpoint, ReplicaGroup& group, Request& request,
+                                                ReadCandidates& candidates) {
+    if (!is_eligible(endpoint, request)) return Evaluation::skipped;
+    if (endpoint.outlier.is_ejected) return evaluate_ejected(endpoint, group, request);
     const bool is_primary = group.primary == endpoint.id;
-    const bool is_crowded = this->is_crowded(endpoint, request);
-    if (!may_take_read(endpoint, request, is_primary, is_crowded)) {
+    const bool is_congested = this->is_congested(endpoint, request);
+    if (!can_serve_read(endpoint, request, is_primary, is_congested)) {
         const bool is_starting = slow_start_.is_active(endpoint, state_.now);
-        note_blocked(request, is_starting ? RejectionReason::slow_start : RejectionReason::at_capacity);
-        return Verdict::skipped;
+        record_blocked_reason(request,
+                              is_starting ? RejectionReason::slow_start : RejectionReason::at_capacity);
+        return Evaluation::skipped;
     }
     if (candidates.is_long_read && !is_primary) {
-        if (!is_crowded) return Verdict::taken;
-        candidates.note_crowded(endpoint, state_.now);
+        if (!is_congested) return Evaluation::chosen;
+        candidates.record_congested(endpoint, state_.now);
     }
     const double weight = draw_weight(endpoint, request, is_primary);
     candidates.total_weight += weight;
-    if (state_.random.unit() * candidates.total_weight <= weight) candidates.drawn = &endpoint;
-    return Verdict::weighed;
+    if (state_.random.unit() * candidates.total_weight <= weight) candidates.sampled_endpoint = &endpoint;
+    return Evaluation::weighted;
 }
 
-bool LoadBalancer::is_crowded(const Endpoint& endpoint, const Request& request) const {
-    const double expected_us = latency_ratio(endpoint, state_.now) * state_.usual_us(request);
+bool LoadBalancer::is_congested(const Endpoint& endpoint, const Request& request) const {
+    const double expected_us = latency_ratio(endpoint, state_.now) * state_.baseline_us(request);
     const double objective_us = as_double(state_.class_of(request).latency_objective_us);
-    return expected_us >= kCrowdedObjectiveRatio * objective_us;
+    return expected_us >= kCongestedObjectiveRatio * objective_us;
 }
 
-// The primary is spared for writes, but for reads that ask for it.
-bool LoadBalancer::may_take_read(Endpoint& endpoint, const Request& request, bool is_primary,
-                                 bool is_crowded) {
-    const bool is_spared = is_primary && state_.class_of(request).consistency != Consistency::linearizable;
-    if (!is_spared) return has_capacity(endpoint, request, 1);
-    if (is_crowded || slow_start_.is_active(endpoint, state_.now)) return false;
+// The primary's capacity is reserved for writes and for linearizable reads, which need it; other reads may
+// use a share of it.
+bool LoadBalancer::can_serve_read(Endpoint& endpoint, const Request& request, bool is_primary,
+                                  bool is_congested) {
+    const bool is_reserved_for_writes =
+        is_primary && state_.class_of(request).consistency != Consistency::linearizable;
+    if (!is_reserved_for_writes) return has_capacity(endpoint, request, 1);
+    if (is_congested || slow_start_.is_active(endpoint, state_.now)) return false;
     return has_capacity(endpoint, request, kPrimaryReadCapacityShare);
 }
 
 bool LoadBalancer::is_eligible(Endpoint& endpoint, Request& request) {
-    if (!retry_policy_.may_use(request, endpoint, state_.now)) return false;
+    if (!retry_policy_.may_forward_to(request, endpoint, state_.now)) return false;
     const bool was_tried_last = !request.attempts.empty() && request.attempts.back().endpoint == endpoint.id;
     if (was_tried_last) return false;
-    if (!read_consistency_.is_met_by(endpoint, request)) {
+    if (!read_consistency_.is_satisfied_by(endpoint, request)) {
         if (endpoint.outlier.is_ejected) return false;
-        note_blocked(request, has_capacity(endpoint, request, 1) ? RejectionReason::too_stale
-                                                                 : RejectionReason::at_capacity);
+        record_blocked_reason(request, has_capacity(endpoint, request, 1) ? RejectionReason::too_stale
+                                                                          : RejectionReason::at_capacity);
         return false;
     }
     if (!state_.zones.is_silent(endpoint.zone)) return true;
-    note_blocked(request, RejectionReason::ejected);
+    record_blocked_reason(request, RejectionReason::ejected);
     return false;
 }
 
-LoadBalancer::Verdict LoadBalancer::consider_ejected(Endpoint& endpoint, const ReplicaGroup& group,
-                                                     Request& request) {
-    note_blocked(request, RejectionReason::ejected);
+LoadBalancer::Evaluation LoadBalancer::evaluate_ejected(Endpoint& endpoint, const ReplicaGroup& group,
+                                                        Request& request) {
+    record_blocked_reason(request, RejectionReason::ejected);
     if (!slow_start_.admits(endpoint, group, state_.work_s(request), state_.now, state_.random))
-        return Verdict::skipped;
-    return outlier_detection_.begin_trial(endpoint, request) ? Verdict::trial : Verdict::skipped;
+        return Evaluation::skipped;
+    return outlier_detection_.begin_trial(endpoint, request) ? Evaluation::trial : Evaluation::skipped;
 }
 
-bool LoadBalancer::has_capacity(Endpoint& endpoint, const Request& request, double share) {
+bool LoadBalancer::has_capacity(Endpoint& endpoint, const Request& request, double capacity_share) {
     const double work_s = state_.work_s(request);
     const double objective_us = as_double(state_.class_of(request).latency_objective_us);
     const double wait_s =
-        (state_.usual_us(request) + kQueueingObjectiveRatio * objective_us) / kMicrosPerSecond;
-    const double floor_s =
+        (state_.baseline_us(request) + kQueueingObjectiveRatio * objective_us) / kMicrosPerSecond;
+    const double min_capacity_s =
         work_s * std::max(kMinRouterRequests, kMinFleetRequests / state_.settings.router_count);
-    const double capacity_s = floor_s + endpoint.work_done.per_second(state_.now) * wait_s;
-    return endpoint.in_flight_work_s + work_s <= capacity_s * share &&
+    const double capacity_s = min_capacity_s + endpoint.work_done.per_second(state_.now) * wait_s;
+    return endpoint.in_flight_work_s + work_s <= capacity_s * capacity_share &&
            slow_start_.admits(endpoint, state_.existing_group(endpoint.replica_group), work_s, state_.now,
                               state_.random);
 }
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -1,8 +1,9 @@
-// The choice of an endpoint for a request: who may answer it, who has capacity left, and among those a draw
-// weighted by latency and work in flight.
+// Selects an endpoint for a request: from the endpoints that are eligible and have capacity left, by a random
+// draw weighted by latency and work in flight.
 //
-// Capacity in flight is a router's own estimate: what the endpoint has lately done for it in the time that a
-// request may wait, and never less than a floor, without which it would learn nothing of the endpoint.
+// The capacity of an endpoint is this router's own estimate: the work that the endpoint has lately completed
+// for it, over the time that a request may wait. A minimum capacity always remains, so that the router keeps
+// getting responses to learn from.
 #pragma once
 
 #include "outlier_detection.h"
@@ -14,10 +15,10 @@
 
 namespace sloestack::decision {
 
-// An endpoint for a request; none where nobody can take it now.
+// `endpoint` is null if no endpoint can take the request now.
 struct EndpointChoice {
     Endpoint* endpoint = nullptr;
-    bool is_trial = false;  // of an ejected endpoint: to be given up early
+    bool is_trial = false;  // the endpoint is ejected; the attempt is given a short time-out
 };
 
 class LoadBalancer {
@@ -26,24 +27,28 @@
                  const ReadConsistency& read_consistency, PrimaryTracker& primary_tracker,
                  OutlierDetection& outlier_detection);
 
-    // Where it finds none, the request's blocked_reason says why.
+    // Selects an endpoint; the caller forwards the request. If there is none, sets the request's
+    // `blocked_reason`. Draws random numbers, refills slow-start budgets and may schedule the next trial.
     EndpointChoice choose(Request& request);
 
 private:
     struct ReadCandidates;
-    enum class Verdict { skipped, weighed, taken, trial };
+    // Result of evaluating one endpoint for a read: not usable now, part of the weighted draw, to be used
+    // without a draw, or to be used for a trial request.
+    enum class Evaluation { skipped, weighted, chosen, trial };
 
     EndpointChoice choose_for_write(ReplicaGroup& group, Request& request);
     EndpointChoice choose_for_read(ReplicaGroup& group, Request& request);
     EndpointChoice choose_from(bool in_subset, ReplicaGroup& group, Request& request,
                                ReadCandidates& candidates);
-    Verdict consider(Endpoint& endpoint, ReplicaGroup& group, Request& request, ReadCandidates& candidates);
+    Evaluation evaluate(Endpoint& endpoint, ReplicaGroup& group, Request& request,
+                        ReadCandidates& candidates);
     bool is_eligible(Endpoint& endpoint, Request& request);
-    bool is_crowded(const Endpoint& endpoint, const Request& request) const;
-    bool may_take_read(Endpoint& endpoint, const Request& request, bool is_primary, bool is_crowded);
-    Verdict consider_ejected(Endpoint& endpoint, const ReplicaGroup& group, Request& request);
-    // Whether the endpoint has `share` of its capacity for this router to spare for the request.
-    bool has_capacity(Endpoint& endpoint, const Request& request, double share);
+    bool is_congested(const Endpoint& endpoint, const Request& request) const;
+    bool can_serve_read(Endpoint& endpoint, const Request& request, bool is_primary, bool is_congested);
+    Evaluation evaluate_ejected(Endpoint& endpoint, const ReplicaGroup& group, Request& request);
+    // Whether the request fits into `capacity_share` of the endpoint's capacity for this router.
+    bool has_capacity(Endpoint& endpoint, const Request& request, double capacity_share);
     double draw_weight(const Endpoint& endpoint, const Request& request, bool is_primary) const;
 
     RouterState& state_;
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -8,15 +8,18 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kLatencyIncreaseStep = 0.15;  // faster than downwards: trouble is believed soon
-constexpr double kMaxAnswerWeight = 0.5;       // of a single answer in the smoothed ratio
+// Smoothing factor for increasing latency ratios; greater than kLatencyDecreaseStep to react to slow
+// endpoints quickly.
+constexpr double kLatencyIncreaseStep = 0.15;
+constexpr double kMaxSampleWeight = 0.5;  // of a single response in the smoothed ratio
 constexpr double kMinLatencyRatio = 0.2;
-constexpr int kMaxDisconnects = 3;  // in a row: the process has died, not a connection
+constexpr int kDisconnectsToEject = 3;  // consecutive: the process has died, not a single connection
 constexpr Micros kFirstTrialDelayUs = 250'000;
 constexpr Micros kMaxTrialIntervalUs = 2'000'000;
-constexpr Micros kRestartAssumedAfterUs = 1'000'000;  // ejected for longer, it may have restarted
+// An endpoint that was ejected for longer may have restarted and gets a slow start.
+constexpr Micros kRestartAssumedAfterUs = 1'000'000;
 
-bool is_answer(Outcome outcome) {
+bool is_response(Outcome outcome) {
     return outcome == Outcome::ok || outcome == Outcome::not_eligible || outcome == Outcome::overloaded ||
            outcome == Outcome::error;
 }
@@ -36,53 +39,54 @@
     endpoint.in_flight.erase(found);
     if (endpoint.in_flight.empty()) state_.busy_endpoints.erase(endpoint.id);
     endpoint.in_flight_work_s = endpoint.in_flight.empty() ? 0 : endpoint.in_flight_work_s - attempt.work_s;
-    const bool was_answered = is_answer(end.outcome);
-    if (was_answered) on_answer(endpoint, actions);
+    const bool has_response = is_response(end.outcome);
+    if (has_response) on_response(endpoint, actions);
     if (end.outcome == Outcome::timeout || end.outcome == Outcome::connect_failed) {
-        ++endpoint.outlier.unanswered;
+        ++endpoint.outlier.unanswered_attempts;
         state_.zones.on_timeout(state_.now, endpoint.zone, endpoint.id, as_double(end.latency_us),
                                 attempt.expected_latency_us);
     }
     if (end.outcome == Outcome::ok) endpoint.work_done.add(state_.now, attempt.work_s);
-    learn_latency(endpoint, end, was_answered);
+    record_latency(endpoint, end, has_response);
     const bool was_disconnected = end.outcome == Outcome::connect_failed || end.outcome == Outcome::reset;
-    // A reused connection may simply have been stale.
+    // A reused connection may have been closed while idle.
     if (!was_disconnected || end.on_reused_connection) return;
-    if (++endpoint.outlier.disconnects >= kMaxDisconnects)
+    if (++endpoint.outlier.consecutive_disconnects >= kDisconnectsToEject)
         eject(endpoint, EjectionCause::disconnected, actions);
 }
 
-void OutlierDetection::learn_latency(Endpoint& endpoint, const AttemptEnded& end, bool was_answered) {
-    // A time-out is a latency as well: some endpoints answer a few requests well and lose the rest.
+void OutlierDetection::record_latency(Endpoint& endpoint, const AttemptEnded& end, bool has_response) {
+    // Time-outs count as latencies as well: an endpoint may serve a few requests quickly and lose the rest.
     const bool has_latency = end.outcome == Outcome::ok || end.outcome == Outcome::timeout;
     if (const auto* request = state_.find_request(end.request); request && has_latency) {
         const double ratio = state_.latency.ratio(request->class_index(), end.latency_us);
-        state_.latency.learn(request->class_index(), ratio);
+        state_.latency.update(request->class_index(), ratio);
         update_latency_ratio(endpoint, ratio);
-        if (was_answered) state_.latency.learn_fleet(ratio);
+        if (has_response) state_.latency.update_fleet(ratio);
     }
     if (end.outcome == Outcome::overloaded || end.outcome == Outcome::error)
         update_latency_ratio(endpoint, kMaxLatencyRatio);
 }
 
-// Where answers come seldom the last one is most of what is known.
+// The longer ago the last sample, the greater the weight of the new one.
 void OutlierDetection::update_latency_ratio(Endpoint& endpoint, double ratio) {
     auto& outlier = endpoint.outlier;
     const double age_us = as_double(state_.now - outlier.latency_updated_at);
-    const double weight = std::min(kMaxAnswerWeight, 1 - std::exp(-age_us / kLongRateWindowUs));
-    const double before = latency_ratio(endpoint, state_.now);
-    const double step = std::max(ratio > before ? kLatencyIncreaseStep : kLatencyDecreaseStep, weight);
-    outlier.latency_ratio =
-        std::max(kMinLatencyRatio, before + step * (std::min(ratio, kMaxLatencyRatio) - before));
+    const double weight = std::min(kMaxSampleWeight, 1 - std::exp(-age_us / kLongRateWindowUs));
+    const double previous_ratio = latency_ratio(endpoint, state_.now);
+    const double step =
+        std::max(ratio > previous_ratio ? kLatencyIncreaseStep : kLatencyDecreaseStep, weight);
+    outlier.latency_ratio = std::max(
+        kMinLatencyRatio, previous_ratio + step * (std::min(ratio, kMaxLatencyRatio) - previous_ratio));
     outlier.latency_updated_at = state_.now;
 }
 
-void OutlierDetection::on_answer(Endpoint& endpoint, Actions& actions) {
-    endpoint.outlier.answered_at = state_.now;
-    endpoint.outlier.disconnects = 0;
-    endpoint.outlier.unanswered = 0;
+void OutlierDetection::on_response(Endpoint& endpoint, Actions& actions) {
+    endpoint.outlier.last_response_at = state_.now;
+    endpoint.outlier.consecutive_disconnects = 0;
+    endpoint.outlier.unanswered_attempts = 0;
     if (endpoint.outlier.is_ejected) restore(endpoint, actions);
-    const bool was_zone_silent = state_.zones.on_answer(state_.now, endpoint.zone);
+    const bool was_zone_silent = state_.zones.on_response(state_.now, endpoint.zone);
     if (!was_zone_silent) return;
     actions.emplace_back(endpoint_log("zone restored: endpoint ", endpoint));
     for (auto& [id, other] : state_.endpoints)
@@ -95,23 +99,24 @@
             eject(*endpoint, EjectionCause::silent, actions);
 }
 
-// Needs at least two unanswered attempts: a single one may only be queued behind other routers' requests. So
-// an endpoint that hangs with one attempt is found later. The longest wait is held against the shortest
-// latency that was expected of any of them.
+// Requires at least two unanswered attempts, because a single one may be queued behind requests of other
+// routers; an endpoint that hangs with a single attempt in flight is therefore detected later. The longest
+// wait is compared with the shortest expected latency of all attempts in flight.
 bool OutlierDetection::is_silent(const Endpoint& endpoint) const {
     double evidence = 0;
-    double longest_us = 0;
+    double longest_wait_us = 0;
     double shortest_expected_us = 1e18;
     for (const auto& [key, attempt] : endpoint.in_flight) {
         const double unanswered_us =
-            as_double(state_.now - std::max(attempt.sent_at, endpoint.outlier.answered_at));
+            as_double(state_.now - std::max(attempt.sent_at, endpoint.outlier.last_response_at));
         evidence += unanswered_us / attempt.expected_latency_us;
-        longest_us = std::max(longest_us, unanswered_us);
+        longest_wait_us = std::max(longest_wait_us, unanswered_us);
         shortest_expected_us = std::min(shortest_expected_us, attempt.expected_latency_us);
     }
-    const auto unanswered = endpoint.in_flight.size() + static_cast<std::size_t>(endpoint.outlier.unanswered);
-    return evidence > kSilenceEvidence && unanswered > 1 &&
-           longest_us > std::max<double>(kMinSilenceUs, kSilenceLatencyFactor * shortest_expected_us);
+    const auto unanswered_attempts =
+        endpoint.in_flight.size() + static_cast<std::size_t>(endpoint.outlier.unanswered_attempts);
+    return evidence > kSilenceEvidence && unanswered_attempts > 1 &&
+           longest_wait_us > std::max<double>(kMinSilenceUs, kSilenceLatencyFactor * shortest_expected_us);
 }
 
 void OutlierDetection::eject(Endpoint& endpoint, EjectionCause cause, Actions& actions) {
@@ -121,10 +126,10 @@
     outlier.ejected_at = state_.now;
     outlier.trial_interval_us = kFirstTrialDelayUs;
     outlier.next_trial_at = state_.now + kFirstTrialDelayUs;
-    const char* why = cause == EjectionCause::disconnected ? " disconnected" : " silent";
-    actions.emplace_back(endpoint_log("endpoint ejected: ", endpoint, why));
+    const char* reason = cause == EjectionCause::disconnected ? " disconnected" : " silent";
+    actions.emplace_back(endpoint_log("endpoint ejected: ", endpoint, reason));
     auto& group = state_.group(endpoint.replica_group);
-    if (group.primary == endpoint.id) primary_tracker_.lose(group, " no answer", actions);
+    if (group.primary == endpoint.id) primary_tracker_.clear_primary(group, " no answer", actions);
 }
 
 void OutlierDetection::restore(Endpoint& endpoint, Actions& actions) {
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -1,6 +1,6 @@
-// Outlier detection: how much slower than usual each endpoint answers, and which endpoints are ejected since
-// they have fallen silent or their connections break. An ejected endpoint gets single trial requests until it
-// answers.
+// Outlier detection: measures how slow each endpoint is relative to the baseline, and ejects endpoints that
+// do not respond or whose connections break. An ejected endpoint gets single trial requests until it
+// responds.
 #pragma once
 
 #include "primary_tracker.h"
@@ -9,7 +9,7 @@
 
 namespace sloestack::decision {
 
-// The endpoint's smoothed latency over the usual one by now: what an answer said of it ages towards 1.
+// Returns the endpoint's smoothed latency relative to the baseline; decays towards 1 since the last sample.
 double latency_ratio(const Endpoint& endpoint, Time now);
 
 class OutlierDetection {
@@ -17,22 +17,23 @@
     OutlierDetection(RouterState& state, PrimaryTracker& primary_tracker)
         : state_(state), primary_tracker_(primary_tracker) {}
 
-    // Takes in how an attempt in flight at the endpoint has ended.
+    // Removes the attempt from those in flight and records its outcome. Ignores attempts not in flight.
     void on_attempt_ended(Endpoint& endpoint, const AttemptEnded& end, Actions& actions);
-    // The endpoint has answered something: it and its zone are there.
-    void on_answer(Endpoint& endpoint, Actions& actions);
-    // Ejects those that have fallen silent.
+    // Records a response of any kind: restores the endpoint if it is ejected, and its zone if it is silent.
+    void on_response(Endpoint& endpoint, Actions& actions);
+    // Ejects endpoints that do not respond to their attempts in flight.
     void eject_silent(Actions& actions);
-    // Whether an ejected endpoint may be tried by this request; the next trial is due later then.
+    // Returns whether the request may be used as a trial request of the ejected endpoint. If so, schedules
+    // the next trial.
     bool begin_trial(Endpoint& endpoint, const Request& request);
-    // Ejected, or in a silent zone, though it may be forwarded to.
+    // Whether the endpoint is ejected or in a silent zone, and neither draining nor removed.
     bool is_avoided(const Endpoint& endpoint) const;
 
 private:
     enum class EjectionCause { silent, disconnected };
 
     void update_latency_ratio(Endpoint& endpoint, double ratio);
-    void learn_latency(Endpoint& endpoint, const AttemptEnded& end, bool was_answered);
+    void record_latency(Endpoint& endpoint, const AttemptEnded& end, bool has_response);
     bool is_silent(const Endpoint& endpoint) const;
     void eject(Endpoint& endpoint, EjectionCause cause, Actions& actions);
     void restore(Endpoint& endpoint, Actions& actions);
--- a/src/decision/pending_queue.cpp
+++ b/src/decision/pending_queue.cpp
@@ -5,12 +5,13 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kMaxWaitObjectiveRatio = 0.25;  // of the latency objective
-constexpr double kServiceTimeReserve = 1.5;      // x the usual latency, kept of the deadline
-// Of the time that a write has left: for a new primary to clear the queue in.
+constexpr double kMaxWaitObjectiveRatio = 0.25;  // longest wait, as a share of the latency objective
+// Multiple of the baseline latency that is kept free before the deadline.
+constexpr double kServiceTimeFactor = 1.5;
+// Share of a write's time to its deadline in which a new primary must be able to clear the queue.
 constexpr double kClearingTimeShare = 0.5;
-constexpr double kMinQueuedWrites = 10;  // may wait in any case: little was seen yet
-constexpr int kMaxScannedRequests = 64;  // a step, per group and class
+constexpr double kMinQueuedWrites = 10;  // always allowed, because work_per_endpoint may not be known yet
+constexpr int kMaxScannedRequests = 64;  // per step, replica group and class
 
 }  // namespace
 
@@ -19,7 +20,7 @@
     Micros timeout_us = 0;
     if (choice.is_trial)
         timeout_us = std::max<Micros>(state_.class_of(request).latency_objective_us / 2,
-                                      as_micros(2 * state_.usual_us(request)));
+                                      as_micros(2 * state_.baseline_us(request)));
     if (choice.endpoint && lifecycle_.forward(request, *choice.endpoint, timeout_us, actions)) return;
     enqueue(request, actions);
 }
@@ -29,31 +30,32 @@
     auto& group = state_.group(request.arrival.replica_group);
     const auto& settings = state_.class_of(request);
     const bool has_primary = primary_tracker_.usable_primary(group) != nullptr;
-    const auto service_us = as_micros(kServiceTimeReserve * state_.usual_us(request));
+    const auto service_us = as_micros(kServiceTimeFactor * state_.baseline_us(request));
     const auto max_wait_us = as_micros(kMaxWaitObjectiveRatio * as_double(settings.latency_objective_us));
     request.queued_until = request.arrival.deadline - service_us;
     if (!settings.is_write || has_primary) {
-        const Time waits_from = std::max(request.arrived_at, state_.now - max_wait_us);
-        request.queued_until = std::min(request.queued_until, waits_from + max_wait_us);
+        const Time wait_start = std::max(request.arrived_at, state_.now - max_wait_us);
+        request.queued_until = std::min(request.queued_until, wait_start + max_wait_us);
     }
-    if (request.queued_until <= state_.now || is_overfull(group, request, has_primary))
+    if (request.queued_until <= state_.now || is_queue_full(group, request, has_primary))
         return lifecycle_.give_up(request, request.blocked_reason, actions);
     request.is_queued = true;
     group.queues[request.class_index()].push_back(request.id());
 }
 
-// Writes wait for a primary only up to what it can clear in time, taken to be what an endpoint does.
-bool PendingQueue::is_overfull(const ReplicaGroup& group, const Request& request, bool has_primary) const {
+// Without a primary, the queue of writes is limited to what a new primary can clear in time, estimated by
+// ReplicaGroup::work_per_endpoint.
+bool PendingQueue::is_queue_full(const ReplicaGroup& group, const Request& request, bool has_primary) const {
     if (!state_.class_of(request).is_write || has_primary) return false;
     const double time_left_us = as_double(request.arrival.deadline - state_.now);
     const double clearable_us = group.work_per_endpoint * kClearingTimeShare * time_left_us;
-    const double usual_us = state_.usual_us(request);
+    const double baseline_us = state_.baseline_us(request);
     const auto queued = static_cast<double>(group.queues[request.class_index()].size());
-    return queued * usual_us > clearable_us + kMinQueuedWrites * usual_us;
+    return queued * baseline_us > clearable_us + kMinQueuedWrites * baseline_us;
 }
 
 void PendingQueue::forward_queued(Actions& actions) {
-    const auto order = state_.latency.by_weight_for_work();
+    const auto order = state_.latency.classes_by_weight_per_work();
     for (auto& [id, group] : state_.groups)
         for (const auto class_index : order) forward_queued_of_class(group.queues[class_index], actions);
 }
@@ -61,14 +63,14 @@
 void PendingQueue::forward_queued_of_class(std::deque<RequestId>& queue, Actions& actions) {
     std::size_t position = 0;
     for (int scanned = 0; position < queue.size() && scanned < kMaxScannedRequests; ++scanned) {
-        if (leaves_queue(queue[position], actions))
+        if (process_queued_request(queue[position], actions))
             queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(position));
         else
             ++position;
     }
 }
 
-bool PendingQueue::leaves_queue(RequestId id, Actions& actions) {
+bool PendingQueue::process_queued_request(RequestId id, Actions& actions) {
     auto* request = state_.find_request(id);
     if (!request || !request->is_queued) return true;
     if (state_.now >= request->queued_until) {
--- a/src/decision/pending_queue.h
+++ b/src/decision/pending_queue.h
@@ -1,5 +1,5 @@
-// Requests that wait for capacity: in order of arrival within a class, classes in order of priority weight
-// for the work, each up to a time after which it is given up.
+// Requests that wait for capacity. Within a class they are forwarded in order of arrival; classes are served
+// in order of priority weight per work. A request that has waited too long is given up.
 #pragma once
 
 #include "load_balancer.h"
@@ -18,17 +18,18 @@
           primary_tracker_(primary_tracker),
           lifecycle_(lifecycle) {}
 
-    // Forwards the request now, queues it, or gives it up where waiting is no use.
+    // Forwards the request, queues it, or gives it up if it could not be served in time. The request may be
+    // destroyed.
     void dispatch(Request& request, Actions& actions);
-    // Forwards what can be forwarded by now, and gives up what has waited for too long.
+    // Forwards queued requests that an endpoint can take now, and gives up those that have waited too long.
     void forward_queued(Actions& actions);
 
 private:
     void enqueue(Request& request, Actions& actions);
-    bool is_overfull(const ReplicaGroup& group, const Request& request, bool has_primary) const;
+    bool is_queue_full(const ReplicaGroup& group, const Request& request, bool has_primary) const;
     void forward_queued_of_class(std::deque<RequestId>& queue, Actions& actions);
-    // True where the request needs no place in its queue any more.
-    bool leaves_queue(RequestId id, Actions& actions);
+    // Forwards or gives up the request if possible. Returns true if it is to be removed from its queue.
+    bool process_queued_request(RequestId id, Actions& actions);
 
     RouterState& state_;
     LoadBalancer& load_balancer_;
--- a/src/decision/position_history.cpp
+++ b/src/decision/position_history.cpp
@@ -7,8 +7,9 @@
 namespace sloestack::decision {
 namespace {
 
+// Samples older than kRateWindowUs are kept up to this number, and up to kLongRateWindowUs.
 constexpr std::size_t kSamplesBeyondWindow = 3;
-constexpr Micros kMinSpeedSpanUs = 150'000;  // over a shorter span the sampling times dominate
+constexpr Micros kMinSpeedSpanUs = 150'000;  // over shorter spans the jitter of sampling times dominates
 
 }  // namespace
 
@@ -23,16 +24,17 @@
 
 std::optional<double> PositionHistory::speed() const {
     if (samples_.size() < 2) return std::nullopt;
-    const Micros span = samples_.back().at - samples_.front().at;
-    if (span < kMinSpeedSpanUs) return std::nullopt;
-    return as_double(samples_.back().position - samples_.front().position) / as_double(span);
+    const Micros span_us = samples_.back().at - samples_.front().at;
+    if (span_us < kMinSpeedSpanUs) return std::nullopt;
+    return as_double(samples_.back().position - samples_.front().position) / as_double(span_us);
 }
 
 Micros PositionHistory::freshness_window_us() const {
     if (samples_.size() < 2) return kRateWindowUs;
-    const Micros span = samples_.back().at - samples_.front().at;
-    const Micros interval = span / static_cast<Micros>(samples_.size() - 1);
-    return std::clamp(static_cast<Micros>(kSamplesBeyondWindow) * interval, kRateWindowUs, kLongRateWindowUs);
+    const Micros span_us = samples_.back().at - samples_.front().at;
+    const Micros interval_us = span_us / static_cast<Micros>(samples_.size() - 1);
+    return std::clamp(static_cast<Micros>(kSamplesBeyondWindow) * interval_us, kRateWindowUs,
+                      kLongRateWindowUs);
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/position_history.h
+++ b/src/decision/position_history.h
@@ -1,7 +1,7 @@
-// Log positions of one replica as they were reported over time, and the speed at which they advance.
+// Reported log positions of one replica, and the speed at which they advance.
 //
-// A position is the time up to which all commits are applied, in microseconds on the router's clock; a
-// replica that keeps up with the present advances by one microsecond a microsecond.
+// A position is the time up to which all commits are applied, in microseconds on the router's clock. The
+// position of a replica that keeps up advances by one microsecond per microsecond.
 #pragma once
 
 #include <deque>
@@ -12,18 +12,18 @@
 namespace sloestack::decision {
 
 struct PositionSample {
-    Time at = 0;
+    Time at = 0;  // when the position was reported
     Time position = 0;
 };
 
 class PositionHistory {
 public:
-    // Samples come in order of time; one at the same time as the last replaces it.
+    // Adds a sample; times must not decrease. A sample with the time of the last one replaces it.
     void record(const PositionSample& sample);
     void clear() { samples_.clear(); }
-    // Position advanced per time passed; nothing where the samples span too little time to tell.
+    // Returns the advance of the position per time; std::nullopt if the samples span less than 150 ms.
     std::optional<double> speed() const;
-    // How long the last sample counts as recent: longer where samples come seldom.
+    // Returns how long the last sample counts as recent: three sampling intervals, from 1 to 4 s.
     Micros freshness_window_us() const;
 
 private:
--- a/src/decision/primary_tracker.h
+++ b/src/decision/primary_tracker.h
@@ -1,5 +1,5 @@
-// Who the primary of each group is: learned from what endpoints report of themselves and, before that, from
-// lists; and how a new one is found while none is known, by health checks and by single trial writes.
+// Tracks the primary of each replica group, from the roles that endpoints report and, until then, from
+// endpoint lists. While no primary is known, searches for it by health checks and by single trial writes.
 #pragma once
 
 #include "retry_policy.h"
@@ -12,28 +12,28 @@
 public:
     PrimaryTracker(RouterState& state, const RetryPolicy& retry_policy, const SlowStart& slow_start);
 
-    // The group's primary for requests: none while its whole zone is silent. It may well be there still, and
-    // is used again as soon as the zone is heard.
+    // Returns the group's primary; nullptr if none is known or its zone is silent. The primary of a silent
+    // zone stays known and is used again when an endpoint of the zone responds.
     Endpoint* usable_primary(const ReplicaGroup& group) const;
-    // Takes in what an endpoint has reported of its role and its position.
+    // Records the role and the position that an endpoint has reported.
     void on_status(Endpoint& endpoint, const ReplicationStatus& status, Actions& actions);
-    // The group has no known primary any more; `why` goes to the log.
-    void lose(ReplicaGroup& group, const char* why, Actions& actions);
-    // An endpoint that may be the primary, for one write now and then; the other endpoints decline it.
-    // nullptr where none is due.
+    // Marks the group's primary as unknown. `reason` is appended to the log line.
+    void clear_primary(ReplicaGroup& group, const char* reason, Actions& actions);
+    // Returns an endpoint that may be the primary, for a trial write; endpoints other than the primary
+    // decline it. Returns nullptr if no trial is due or no endpoint is suitable.
     Endpoint* trial_candidate(ReplicaGroup& group, const Request& request);
 
-    // On a group's first use: checks each endpoint or, where endpoints check reads themselves, each with a
-    // probability that makes about 6 checks over all routers.
+    // Starts health checks at a group's first use: of each endpoint or, if endpoints check positions
+    // themselves, of each with a probability that makes about 6 checks by all routers together.
     void on_first_use(ReplicaGroup& group, Actions& actions);
-    // Checks all members again where no primary is confirmed; `is_confirmed` says whether one is.
-    void renew_health_checks(ReplicaGroup& group, bool is_confirmed, Actions& actions);
+    // Repeats the health checks of all endpoints while no primary is confirmed.
+    void repeat_health_checks(ReplicaGroup& group, bool is_confirmed, Actions& actions);
 
 private:
     bool may_be_primary(const Endpoint& endpoint) const;
-    // Checks each member with that probability: of a budget for all routers each has a share, which is mostly
-    // less than one check.
-    void health_check_members(ReplicaGroup& group, double probability, Actions& actions);
+    // Starts a health check of each endpoint with the given probability. The budget of all routers together
+    // leaves most routers less than one check.
+    void check_endpoints(ReplicaGroup& group, double probability, Actions& actions);
     void on_primary_reported(Endpoint& endpoint, ReplicaGroup& group, const ReplicationStatus& status,
                              Actions& actions);
 
--- a/src/decision/random_source.h
+++ b/src/decision/random_source.h
@@ -1,5 +1,5 @@
-// The router's stream of random numbers. Equal seeds and equal calls give equal numbers, so the order of
-// calls is part of what a router decides.
+// Random numbers of a router. Equal seeds and an equal sequence of calls produce equal numbers, so the order
+// of the calls affects every later decision.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
-    // Uniform in [0, 1).
+    // Returns a number uniformly distributed in [0, 1).
     double unit() { return std::uniform_real_distribution<>()(engine_); }
 
 private:
--- a/src/decision/read_admission.cpp
+++ b/src/decision/read_admission.cpp
@@ -5,10 +5,11 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kMaxGrowth = 1.25;        // over the reads served in time
-constexpr double kMinAdmittedRatio = 0.2;  // of the reads offered: without any there is no evidence
-// Reads taken to have been offered and served: a verdict needs more evidence than that. The more routers
-// there are, the fewer reads each sees, and the more of what it sees is chance.
+constexpr double kMaxGrowth = 1.25;        // reads admitted relative to those served in time
+constexpr double kMinAdmittedRatio = 0.2;  // without admitted reads a recovery would not be noticed
+// Prior: reads assumed to have been offered and served in time, so that a few late reads do not cause
+// rejections. Grows with the router count, because each router then sees fewer reads and chance has more
+// effect.
 constexpr double kMinPriorReads = 1;
 constexpr double kPriorReadsPerRouter = 0.08;
 
--- a/src/decision/read_admission.h
+++ b/src/decision/read_admission.h
@@ -1,10 +1,10 @@
-// Admission of reads by goodput: of each class as many are admitted as are lately served in time, with some
-// room to grow.
+// Admission control of reads by goodput: admits as many reads of a class as were lately served within the
+// latency objective, plus some room to grow.
 //
-// The design's formula for writes, with the reads served within their latency objective as the sustained
-// rate. Limits on work in flight say nothing where each of many routers has a request or two out. Guards
-// against overload of any cause and against queues of answers that come too late; it may reject reads for
-// some time after an outage is over.
+// This is the design's formula for writes, with the reads served in time as the sustained rate. It protects
+// against overload of any cause, and against queues whose responses come too late. Limits on work in flight
+// cannot do that if each of many routers has only one or two requests in flight. Reads may still be rejected
+// for some time after an outage.
 #pragma once
 
 #include "replica_group.h"
@@ -16,9 +16,11 @@
 public:
     explicit ReadAdmission(int router_count);
 
-    // Whether the read may go on; `draw` lies in [0, 1). One that may not is counted as offered.
+    // Returns whether the read is admitted. A read that is not admitted is counted as offered. `draw` is
+    // uniform in [0, 1).
     bool admit(ReplicaGroup& group, std::size_t class_index, Time now, double draw) const;
-    // An admitted read has ended: served or not, within its latency objective or later.
+    // Records the end of an admitted read: whether it was served, and whether its latency objective had
+    // passed. A read that ended within the objective without being served is not counted.
     static void record(ReplicaGroup& group, std::size_t class_index, Time now, bool was_served,
                        bool was_late);
 
--- a/src/decision/read_consistency.cpp
+++ b/src/decision/read_consistency.cpp
@@ -8,7 +8,7 @@
 namespace sloestack::decision {
 namespace {
 
-// Added to a session's last write, whose age is rounded to whole milliseconds.
+// Added to the position of a session's last write, because its age is rounded to whole milliseconds.
 constexpr Micros kWriteAgeRoundingUs = 1'000;
 
 }  // namespace
@@ -33,7 +33,7 @@
     token = std::max(token, position);
 }
 
-bool ReadConsistency::is_met_by(const Endpoint& endpoint, const Request& request) const {
+bool ReadConsistency::is_satisfied_by(const Endpoint& endpoint, const Request& request) const {
     const auto& settings = state_.class_of(request);
     if (settings.consistency == Consistency::any) return true;
     const auto& group = state_.existing_group(endpoint.replica_group);
@@ -43,8 +43,9 @@
     if (required <= 0) return true;
     const auto check = state_.settings.position_check;
     const Time position = estimated_position(endpoint, group, check, state_.now);
-    // An endpoint that checks reads itself may be tried without knowing its position.
+    // An endpoint that checks positions itself may be used although its position is unknown.
     if (position < 0) return check != PositionCheck::none;
+    // Counts on half the time that the endpoint waits for the position.
     const bool waits = check == PositionCheck::wait && !is_bounded;
     const Micros wait_us = waits ? state_.settings.position_wait_us / 2 : 0;
     return position + wait_us >= required;
@@ -54,7 +55,7 @@
     return primary.role == Role::primary || state_.startup.trusts_listed_primary();
 }
 
-void ReadConsistency::forget_passed_tokens(std::map<int, Time>& oldest_positions) {
+void ReadConsistency::erase_passed_tokens(std::map<int, Time>& oldest_positions) {
     for (auto token = session_tokens_.begin(); token != session_tokens_.end();) {
         auto& group = state_.group(token->first.first);
         if (token->second >= oldest_positions[group.id]) {
--- a/src/decision/read_consistency.h
+++ b/src/decision/read_consistency.h
@@ -1,5 +1,5 @@
-// What an endpoint must have applied to answer a read: by the consistency that its class asks for and, for
-// session reads, by the session's token, the position of its last write.
+// Which position an endpoint must have applied to serve a read: determined by the consistency of the request
+// class and, for session reads, by the session token, the position of the session's last write.
 #pragma once
 
 #include <map>
@@ -13,19 +13,19 @@
 public:
     explicit ReadConsistency(RouterState& state) : state_(state) {}
 
-    // The position that a request which has just arrived asks for; 0 where any will do.
+    // Returns the position that a request arriving now requires; 0 if any position is sufficient.
     Time required_position(const Request& request);
-    // A write of the request's session is known to have committed at that position.
+    // Records that a write of the request's session has committed at the position.
     void record_write(const Request& request, Time position);
-    // Whether the endpoint can answer the read, as far as is known.
-    bool is_met_by(const Endpoint& endpoint, const Request& request) const;
-    // Whether this primary may answer reads that need the newest data: it has reported its own role, or the
-    // settings allow a listed primary to be believed.
+    // Whether the endpoint meets the consistency of the read, by its estimated position.
+    bool is_satisfied_by(const Endpoint& endpoint, const Request& request) const;
+    // Whether the primary may serve reads that require the newest data: it has reported its role itself, or
+    // listed primaries are trusted (StartupPhase::trusts_listed_primary).
     bool trusts_primary(const Endpoint& primary) const;
-    // Forgets the tokens that all members of their group have passed; `oldest_positions` by group. The newest
-    // token that is forgotten still binds sessions without one: an endpoint that joins later may start from
-    // an older copy.
-    void forget_passed_tokens(std::map<int, Time>& oldest_positions);
+    // Erases the session tokens that all endpoints of their replica group have passed. `oldest_positions` is
+    // by replica group. The newest erased token becomes the minimum position of sessions without a token,
+    // because an endpoint that joins later may start from an older copy.
+    void erase_passed_tokens(std::map<int, Time>& oldest_positions);
 
 private:
     RouterState& state_;
--- a/src/decision/replication_lag.h
+++ b/src/decision/replication_lag.h
@@ -1,4 +1,4 @@
-// How far endpoints have applied the log of their group's primary.
+// Positions of endpoints: how far they have applied the log of their replica group's primary.
 #pragma once
 
 #include "endpoint.h"
@@ -7,12 +7,13 @@
 
 namespace sloestack::decision {
 
-// Takes a position that an endpoint has reported; positions in the future and older ones are passed over.
+// Records the position that an endpoint has reported. Ignores positions in the future and those older than
+// the last one.
 void record_position(Endpoint& endpoint, ReplicaGroup& group, const ReplicationStatus& status, Time now);
 
-// The position that an endpoint can be taken to have by now; -1 where none was ever reported. Where endpoints
-// do not check reads themselves, only a reported position counts; where they do, it is carried on at the
-// speed last seen.
+// Returns the endpoint's estimated position at `now`; -1 if none was ever reported. If endpoints check
+// positions themselves, the last reported position is extrapolated by its speed, because a wrong estimate is
+// corrected by the endpoint; otherwise only the reported position counts.
 Time estimated_position(const Endpoint& endpoint, const ReplicaGroup& group, PositionCheck check, Time now);
 
 }  // namespace sloestack::decision
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -1,4 +1,4 @@
-// A request that has arrived and has not been answered, rejected, failed or withdrawn.
+// A request that has arrived and has not ended.
 #pragma once
 
 #include <algorithm>
@@ -10,22 +10,22 @@
 
 struct Attempt {
     EndpointId endpoint = 0;
-    bool is_open = true;
-    bool may_have_run = true;  // false once its outcome proves that nothing was executed
+    bool is_open = true;       // in flight
+    bool may_have_run = true;  // false once its outcome proves that it did not execute the request
 };
 
 struct Request {
     Arrival arrival;
     Time arrived_at = 0;
-    Time required_position = 0;  // what an endpoint must have applied to answer it; 0: anything will do
-    Time queued_until = 0;
+    Time required_position = 0;  // that an endpoint must have applied; 0: any
+    Time queued_until = 0;       // while queued: when it is given up
     bool is_queued = false;
-    bool had_error = false;  // an endpoint has answered with an error
+    bool had_error = false;  // an attempt has ended with Outcome::error
     std::vector<Attempt> attempts = {};
     int open_attempts = 0;
-    // Why the last look for an endpoint found none.
+    // Why the last search for an endpoint found none.
     RejectionReason blocked_reason = RejectionReason::no_eligible_endpoint;
-    // When and where the first attempt that may have run was forwarded.
+    // Time and zone of the first attempt that may have run; not used for idempotent requests.
     Time first_effect_at = -1;
     int first_effect_zone = 0;
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -8,7 +8,7 @@
 
 bool RequestLifecycle::forward(Request& request, Endpoint& endpoint, Micros timeout_us, Actions& actions) {
     if (!retry_policy_.may_forward(request, state_.now)) return false;
-    if (!retry_policy_.may_use(request, endpoint, state_.now)) return false;
+    if (!retry_policy_.may_forward_to(request, endpoint, state_.now)) return false;
     const double work_s = state_.work_s(request);
     const auto window_left_us = retry_policy_.idempotency_window_left_us(request, state_.now);
     const bool is_idempotent = state_.class_of(request).idempotency == Idempotency::idempotent;
@@ -19,7 +19,7 @@
     const double slowdown =
         std::max({1.0, state_.latency.fleet_ratio(), latency_ratio(endpoint, state_.now)});
     const auto number = static_cast<int>(request.attempts.size());
-    endpoint.in_flight[{request.id(), number}] = {state_.now, state_.usual_us(request) * slowdown, work_s};
+    endpoint.in_flight[{request.id(), number}] = {state_.now, state_.baseline_us(request) * slowdown, work_s};
     endpoint.in_flight_work_s += work_s;
     state_.busy_endpoints[endpoint.id] = &endpoint;
     slow_start_.spend(endpoint, work_s, state_.now);
@@ -55,16 +55,16 @@
     reject(request, retry_after_us, reason, actions);
 }
 
-void RequestLifecycle::close(const Request& request, int answered_attempt, Actions& actions) {
+void RequestLifecycle::close(const Request& request, int successful_attempt, Actions& actions) {
     if (!state_.class_of(request).is_write) {
         const Micros objective_us = state_.class_of(request).latency_objective_us;
         const bool was_late = state_.now - request.arrived_at > objective_us;
         ReadAdmission::record(state_.group(request.arrival.replica_group), request.class_index(), state_.now,
-                              answered_attempt >= 0, was_late);
+                              successful_attempt >= 0, was_late);
     }
     if (state_.settings.cancel_allowed)
         for (int number = 0; number < static_cast<int>(request.attempts.size()); ++number)
-            if (request.attempts[static_cast<std::size_t>(number)].is_open && number != answered_attempt)
+            if (request.attempts[static_cast<std::size_t>(number)].is_open && number != successful_attempt)
                 actions.emplace_back(Cancel{request.id(), number});
     state_.requests.erase(request.id());
 }
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -1,5 +1,5 @@
-// The only ways out of a request: every attempt, rejection, failure and cancellation passes here and is
-// checked against the retry policy.
+// Forwards and ends requests. All Forward, Reject, Fail and Cancel actions for known requests are emitted
+// here, and are checked against the retry policy.
 #pragma once
 
 #include "read_admission.h"
@@ -14,18 +14,19 @@
     RequestLifecycle(RouterState& state, const RetryPolicy& retry_policy, const SlowStart& slow_start)
         : state_(state), retry_policy_(retry_policy), slow_start_(slow_start) {}
 
-    // Forwards the request; false where the retry policy forbids it. `timeout_us`: after it the attempt is
-    // given up; 0 leaves it all the time that the request has.
+    // Forwards the request to the endpoint. Returns false if the retry policy forbids it. `timeout_us` limits
+    // the attempt; 0: until the request's deadline.
     bool forward(Request& request, Endpoint& endpoint, Micros timeout_us, Actions& actions);
-    // Rejects the request where that is the truth and fails it otherwise, and ends it. `retry_after_us` is
-    // cut to what the settings allow. The request is destroyed.
+    // Ends the request: rejects it if the retry policy allows, otherwise fails it. `retry_after_us` is
+    // limited by the settings. The request is destroyed.
     void reject(Request& request, Micros retry_after_us, RejectionReason reason, Actions& actions);
-    // As reject(); without `retry_after_us`, Retry-After is drawn from 0.5 to 1.5 times that of the class.
-    // Counts a read that found only stale replicas towards the write throttle. The request is destroyed.
+    // Ends the request like reject(). If `retry_after_us` is 0, the Retry-After is drawn from 0.5 to 1.5
+    // times that of the class. A read that was blocked as too stale is counted for the write throttle. The
+    // request is destroyed.
     void give_up(Request& request, RejectionReason reason, Actions& actions, Micros retry_after_us = 0);
-    // Ends the request. `answered_attempt` is the attempt that answered it, -1 where none did; the others are
-    // cancelled. The request is destroyed: references to it are invalid afterwards.
-    void close(const Request& request, int answered_attempt, Actions& actions);
+    // Ends the request. `successful_attempt` is the attempt whose response the client got, -1 for none; other
+    // attempts in flight are cancelled. The request is destroyed: references to it become invalid.
+    void close(const Request& request, int successful_attempt, Actions& actions);
 
 private:
     RouterState& state_;
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -7,9 +7,9 @@
 namespace sloestack::decision {
 namespace {
 
-// Of the idempotency window, kept back for the way to the endpoint.
+// Subtracted from the idempotency window for the transmission to the endpoint.
 constexpr Micros kIdempotencyWindowMarginUs = 20'000;
-constexpr double kRetryAfterObjectiveRatio = 0.2;
+constexpr double kRetryAfterObjectiveRatio = 0.2;  // of the latency objective
 constexpr double kCreditPerArrival = 0.2;
 
 }  // namespace
@@ -34,7 +34,7 @@
     return idempotency_window_left_us(request, now) > 0;
 }
 
-bool RetryPolicy::may_use(const Request& request, const Endpoint& endpoint, Time now) const {
+bool RetryPolicy::may_forward_to(const Request& request, const Endpoint& endpoint, Time now) const {
     if (endpoint.replica_group != request.arrival.replica_group || endpoint.is_leaving()) return false;
     return class_of(request).idempotency_scope != IdempotencyScope::zone ||
            !idempotency_window_left_us(request, now) || endpoint.zone == request.first_effect_zone;
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,8 +1,9 @@
-// What may be done with a request again: whether a further attempt is allowed, where, until when, and whether
-// the request may still be rejected with the promise that nothing has run.
+// Retry policy: whether a further attempt of a request is allowed, at which endpoint and until when, and
+// whether the request may still be rejected, which promises that it is safe to send again.
 //
-// An attempt may have run unless its outcome proves the contrary. A request that is not idempotent is then
-// never forwarded again; a keyed one is, within the idempotency window and scope of its class.
+// An attempt may have run unless its outcome proves the contrary. After such an attempt, a request that is
+// not idempotent is never forwarded again; a keyed one is, within the idempotency window and scope of its
+// class.
 #pragma once
 
 #include <optional>
@@ -17,17 +18,20 @@
 public:
     explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-    // Whether the outcome proves that the attempt executed nothing.
+    // Whether the outcome proves that the attempt did not execute the request.
     static bool proves_not_run(Outcome outcome);
-    // Whether to reject the request promises the truth: no effect, or one that its class may repeat.
+    // Whether the request may be rejected: it was not executed, or its class allows any repetition.
     bool may_reject(const Request& request) const;
-    // Whether one more attempt is allowed now, at whatever endpoint.
+    // Whether a further attempt is allowed now, regardless of the endpoint.
     bool may_forward(const Request& request, Time now) const;
-    // Whether this endpoint may get it: it is not leaving, and within the idempotency scope.
-    bool may_use(const Request& request, const Endpoint& endpoint, Time now) const;
-    // For a keyed request that may have run: how long it may still be repeated; nothing for any other.
+    // Whether the endpoint may get the request: it belongs to the replica group, is not leaving and is within
+    // the idempotency scope.
+    bool may_forward_to(const Request& request, const Endpoint& endpoint, Time now) const;
+    // Returns how long a keyed request that may have run may still be repeated, which may be negative;
+    // std::nullopt for any other request.
     std::optional<Micros> idempotency_window_left_us(const Request& request, Time now) const;
-    // Base of the Retry-After: a client that comes back after it can still meet the latency objective.
+    // Returns the base of the Retry-After: a client that retries after it can still get its response within
+    // the latency objective.
     Micros retry_after_us(const Request& request) const;
 
 private:
@@ -38,8 +42,8 @@
     const Settings& settings_;
 };
 
-// Allows 0.2 further attempts for each arriving request and at most 80 saved up, so that retries cannot
-// multiply an overload.
+// Limits retries and hedged requests to 0.2 per arriving request, with at most 80 saved up, so that they
+// cannot amplify an overload.
 class RetryBudget {
 public:
     void on_arrival();
@@ -47,7 +51,7 @@
     void spend() { credit_ -= 1; }
 
 private:
-    static constexpr double kMaxCredit = 80;  // further attempts: the load of one endpoint that hangs
+    static constexpr double kMaxCredit = 80;  // attempts: about those lost at one hanging endpoint
     double credit_ = kMaxCredit / 4;
 };
 
--- a/src/decision/router.cpp
+++ b/src/decision/router.cpp
@@ -1,5 +1,5 @@
-// The order of a step: events in, actions out. Each rule (one decision with its own state, listed in
-// docs/DECISIONS.md) has its own file in this folder.
+// Router: dispatches events to the components and collects their actions. Each component makes one decision,
+// has its own file in this folder and is listed in docs/DECISIONS.md.
 #include "sloestack/router.h"
 
 #include <algorithm>
@@ -24,13 +24,13 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr Micros kTickIntervalUs =
-    5'000;  // time resolution of what no event triggers: silence, overdue requests, checks
-constexpr Micros kForgetIntervalUs = 1'000'000;
+// Resolution of everything that depends on time alone: silence, deadlines of requests, health checks.
+constexpr Micros kTickIntervalUs = 5'000;
+constexpr Micros kCleanupIntervalUs = 1'000'000;
 constexpr std::uint32_t kTickTimer = 1;
 constexpr std::uint32_t kPollTimer = 2;
 
-// Tells this router from the others in the draw of subsets.
+// Identifies this router in the selection of endpoint subsets.
 std::uint64_t subset_key(const Settings& settings, std::uint64_t seed) {
     return settings.router_index >= 0 ? static_cast<std::uint64_t>(settings.router_index) : seed;
 }
@@ -141,22 +141,22 @@
         retry(*request, end.outcome, actions);
     }
 
-    // An attempt has ended and the request has not: forwards it again, or gives it up.
+    // Retries a request whose attempt has ended without ending the request, or gives it up.
     void retry(Request& request, Outcome outcome, Actions& actions) {
         if (state_.now >= request.arrival.deadline)
             return lifecycle_.give_up(request, RejectionReason::deadline_exceeded, actions);
         if (request.open_attempts > 0) return;
         if (!retry_policy_.may_forward(request, state_.now))
             return lifecycle_.give_up(request, RejectionReason::not_retryable, actions);
-        // An error from a second endpoint is the request's own. Guards the retry budget and the endpoints
-        // against requests that fail everywhere; a read is lost where two endpoints fail for reasons of their
-        // own.
+        // A second error is attributed to the request itself: requests that fail everywhere must not use up
+        // the retry budget and load every endpoint. A read fails unnecessarily if two endpoints return errors
+        // of their own.
         const bool had_error = request.had_error;
         if (outcome == Outcome::error) request.had_error = true;
         if (outcome == Outcome::error && had_error)
             return lifecycle_.give_up(request, RejectionReason::repeated_error, actions,
                                       state_.settings.max_retry_after_us);
-        // An endpoint that was not eligible has done nothing: to go on to the next costs no budget.
+        // An endpoint that declined the request did no work: the next attempt is not charged to the budget.
         if (outcome != Outcome::not_eligible) {
             if (retry_budget_.is_spent())
                 return lifecycle_.give_up(request, RejectionReason::retry_budget_exhausted, actions,
@@ -166,8 +166,8 @@
         pending_queue_.dispatch(request, actions);
     }
 
-    // The answer is the client's from its first bytes on; how long the rest takes says nothing of the
-    // endpoint.
+    // A started response ends the request: the time that the rest takes also depends on the client and is not
+    // attributed to the endpoint.
     void on(const ResponseStarted& start, Actions& actions) {
         AttemptEnded end;
         end.request = start.request;
@@ -187,8 +187,9 @@
     void on(const HealthCheckEnded& end, Actions& actions) {
         auto* endpoint = state_.find_endpoint(end.endpoint);
         if (!endpoint || end.outcome != Outcome::ok) return;
-        // An answer to a health check says little of how an endpoint serves, but that its zone is there.
-        if (state_.zones.is_silent(endpoint->zone)) outlier_detection_.on_answer(*endpoint, actions);
+        // A successful health check shows that the zone is reachable, but not that the endpoint serves
+        // requests: it does not restore an ejected endpoint outside a silent zone.
+        if (state_.zones.is_silent(endpoint->zone)) outlier_detection_.on_response(*endpoint, actions);
         primary_tracker_.on_status(*endpoint, end.reported_status, actions);
     }
 
@@ -214,21 +215,21 @@
     }
 
     void tick(Actions& actions) {
-        if (const auto text = state_.startup.take_transition(state_.now - state_.started_at))
+        if (const auto text = state_.startup.take_transition_message(state_.now - state_.started_at))
             actions.emplace_back(Log{*text});
         outlier_detection_.eject_silent(actions);
         zone_failover_.update(actions);
         for (auto& [id, group] : state_.groups) {
-            if (const auto* slowest = write_throttle_.renew(group, state_))
+            if (const auto* slowest = write_throttle_.update(group, state_))
                 actions.emplace_back(endpoint_log("write throttle active: slowest ", *slowest));
-            renew_work_per_endpoint(group, state_, slow_start_);
-            primary_tracker_.renew_health_checks(group, is_primary_confirmed(group), actions);
+            update_work_per_endpoint(group, state_, slow_start_);
+            primary_tracker_.repeat_health_checks(group, is_primary_confirmed(group), actions);
         }
         give_up_overdue(actions);
-        if (state_.now - forgotten_at_ <= kForgetIntervalUs) return;
-        forgotten_at_ = state_.now;
-        auto oldest_positions = registry_.forget_removed();
-        read_consistency_.forget_passed_tokens(oldest_positions);
+        if (state_.now - last_cleanup_at_ <= kCleanupIntervalUs) return;
+        last_cleanup_at_ = state_.now;
+        auto oldest_positions = registry_.erase_removed();
+        read_consistency_.erase_passed_tokens(oldest_positions);
     }
 
     bool is_primary_confirmed(const ReplicaGroup& group) {
@@ -236,7 +237,7 @@
         return primary && read_consistency_.trusts_primary(*primary);
     }
 
-    // Gives up requests whose deadline would pass before the next tick but one.
+    // Gives up requests without attempts in flight whose deadline passes within the next two ticks.
     void give_up_overdue(Actions& actions) {
         while (!deadlines_.empty() && deadlines_.top().first <= state_.now + 2 * kTickIntervalUs) {
             const auto id = deadlines_.top().second;
@@ -267,7 +268,7 @@
 
     using Deadline = std::pair<Time, RequestId>;
     std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
-    Time forgotten_at_ = 0;
+    Time last_cleanup_at_ = 0;
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
--- a/src/decision/router_state.cpp
+++ b/src/decision/router_state.cpp
@@ -25,18 +25,18 @@
 ReplicaGroup& RouterState::group(int id) {
     auto& group = groups[id];
     if (!group.queues.empty()) return group;
-    const ReadAdmissionState no_reads{DecayingRate(kReadAdmissionWindowUs),
-                                      DecayingRate(kReadAdmissionWindowUs)};
+    const ReadAdmissionState initial_state{DecayingRate(kReadAdmissionWindowUs),
+                                           DecayingRate(kReadAdmissionWindowUs)};
     group.id = id;
     group.default_session_position = started_at;
     group.queues.resize(settings.classes.size());
-    group.read_admission.assign(settings.classes.size(), no_reads);
+    group.read_admission.assign(settings.classes.size(), initial_state);
     return group;
 }
 
-Log endpoint_log(const char* what, const Endpoint& endpoint, const char* why) {
-    return Log{what + std::to_string(endpoint.id) + " replica group " +
-               std::to_string(endpoint.replica_group) + why};
+Log endpoint_log(const char* event, const Endpoint& endpoint, const char* reason) {
+    return Log{event + std::to_string(endpoint.id) + " replica group " +
+               std::to_string(endpoint.replica_group) + reason};
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/router_state.h
+++ b/src/decision/router_state.h
@@ -1,5 +1,5 @@
-// All state that more than one rule of the decision module reads, with look-ups over it. Rules hold a
-// reference; the router owns it.
+// State shared by the components of the decision module, with look-up functions. The router owns it; the
+// components hold references.
 #pragma once
 
 #include <map>
@@ -24,21 +24,22 @@
     RouterState(const RouterState&) = delete;
     RouterState& operator=(const RouterState&) = delete;
 
+    // Return nullptr if the id is unknown.
     Endpoint* find_endpoint(EndpointId id);
     Request* find_request(RequestId id);
-    // The group of that number, created at its first use.
+    // Returns the replica group, which is created at its first use.
     ReplicaGroup& group(int id);
     const ReplicaGroup& existing_group(int id) const { return groups.at(id); }
     const RequestClassSettings& class_of(const Request& request) const {
         return settings.classes[request.class_index()];
     }
-    double usual_us(const Request& request) const { return latency.usual_us(request.class_index()); }
+    double baseline_us(const Request& request) const { return latency.baseline_us(request.class_index()); }
     double work_s(const Request& request) const { return latency.work_s(request.class_index()); }
 
     const Settings settings;
     RandomSource random;
     Time now = 0;
-    Time started_at = -1;  // of the first step; -1: none yet. The router knows of no write before it
+    Time started_at = -1;  // time of the first step, before which the router knows of no write; -1: none yet
     std::map<EndpointId, Endpoint> endpoints;
     std::map<EndpointId, Endpoint*> busy_endpoints;  // those with attempts in flight
     std::map<int, ReplicaGroup> groups;
@@ -48,7 +49,7 @@
     StartupPhase startup;
 };
 
-// A log line about one endpoint: what has happened, to which endpoint, and why.
-Log endpoint_log(const char* what, const Endpoint& endpoint, const char* why = "");
+// Returns a log line: the event, the endpoint with its replica group, and the reason.
+Log endpoint_log(const char* event, const Endpoint& endpoint, const char* reason = "");
 
 }  // namespace sloestack::decision
--- a/src/decision/settings_validation.cpp
+++ b/src/decision/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Validation of settings. The keys that errors name are short forms of those in core/settings.
+// Validation of settings. Error messages name the setting by a short form of its key in core/settings.
 #include <stdexcept>
 
 #include "sloestack/router.h"
--- a/src/decision/silence_criteria.h
+++ b/src/decision/silence_criteria.h
@@ -1,14 +1,17 @@
-// When silence is evidence of a failure, of an endpoint or of a whole zone: the times without an answer, each
-// over the latency that was expected and summed, and one attempt at least that has waited for long.
+// When missing responses count as a failure of an endpoint or of a whole zone. For each attempt, the time
+// without a response is divided by the expected latency; the sum of these ratios is the evidence. In addition
+// at least one attempt must have waited for long.
 #pragma once
 
 #include "sloestack/router.h"
 
 namespace sloestack::decision {
 
-constexpr double kSilenceEvidence = 10;  // summed expected latencies: e^-10 by chance
-constexpr double kSilenceLatencyFactor =
-    4;                                     // times the expected latency: one attempt has waited that long ...
-constexpr Micros kMinSilenceUs = 120'000;  // ... and this
+// Sum of expected latencies without a response. If latencies are exponentially distributed, a healthy
+// endpoint reaches it with probability e^-10.
+constexpr double kSilenceEvidence = 10;
+// One attempt must have waited longer than both this multiple of its expected latency and kMinSilenceUs.
+constexpr double kSilenceLatencyFactor = 4;
+constexpr Micros kMinSilenceUs = 120'000;
 
 }  // namespace sloestack::decision
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,10 +1,11 @@
-// Slow start of an endpoint that has lately started: its capacity grows from a ratio of the settings to all
-// of it, and work flows to it at that pace, over all routers together.
+// Slow start: limits the work forwarded to an endpoint that has recently started. Its capacity grows linearly
+// from Settings::slow_start_min_capacity_ratio to 1 over slow_start_duration_us; the limit holds for all
+// routers together.
 //
-// Each router has a budget of its own, refilled at its share of what the endpoint can take. Where that is
-// less than one request at a time routers take turns: a router starts with a random part of a request's work,
-// and a budget that is not used soon is lost, so that the small shares of many routers do not add up to a
-// burst. An endpoint may stay idle where requests are rare.
+// Each router has its own budget, refilled at its share of the endpoint's capacity. If the share is less than
+// one request at a time, the routers take turns: each starts with a random part of one request's work, and
+// budget that is not used soon expires, so that the shares of many routers do not add up to a burst. An
+// endpoint may stay idle if requests are rare.
 #pragma once
 
 #include "endpoint.h"
@@ -18,24 +19,26 @@
 public:
     explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-    // The endpoint has started, or is taken to have, at `started_at`.
+    // Begins the slow start of an endpoint that has started, or is assumed to have started, at `started_at`.
     static void begin(Endpoint& endpoint, Time started_at);
-    // Of its full capacity what the endpoint can take now: 1 once it is warm.
+    // Returns the endpoint's current capacity relative to its full one; 1 after the slow start.
     double capacity_ratio(const Endpoint& endpoint, Time now) const;
     bool is_active(const Endpoint& endpoint, Time now) const { return capacity_ratio(endpoint, now) < 1; }
-    // Refills the budget; true where `work_s` seconds of work may be forwarded now. Always so for a warm one.
+    // Refills the endpoint's budget, and returns whether `work_s` seconds of work may be forwarded now.
+    // Always true if slow start is not active.
     bool admits(Endpoint& endpoint, const ReplicaGroup& group, double work_s, Time now,
                 RandomSource& random) const;
-    // That much work has been forwarded.
+    // Deducts forwarded work from the budget, in seconds.
     void spend(Endpoint& endpoint, double work_s, Time now) const;
 
 private:
     const Settings& settings_;
 };
 
-// Renews, every 250 ms, what a warm endpoint of the group does for this router: an estimate from below of its
-// capacity. It sinks only while all members are warm and not ejected: in an outage endpoints that are not yet
-// known to have failed do nothing, which says nothing of what an endpoint can do.
-void renew_work_per_endpoint(ReplicaGroup& group, const RouterState& state, const SlowStart& slow_start);
+// Updates, every 250 ms, the work that a warm endpoint of the group completes for this router, which is a
+// lower bound of its capacity. The estimate decreases only while all endpoints are warm and not ejected: in
+// an outage endpoints whose failure is not detected yet complete no work, which says nothing about their
+// capacity.
+void update_work_per_endpoint(ReplicaGroup& group, const RouterState& state, const SlowStart& slow_start);
 
 }  // namespace sloestack::decision
--- a/src/decision/split_mix.h
+++ b/src/decision/split_mix.h
@@ -1,12 +1,12 @@
-// SplitMix64's finalizer (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014):
-// spreads any 64-bit number over all of them, so that numbers close to each other give unrelated results.
+// Finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014): a
+// bijection on 64-bit numbers that maps similar inputs to unrelated outputs.
 #pragma once
 
 #include <cstdint>
 
 namespace sloestack::decision {
 
-// Added to a number before it is mixed; the generator's increment.
+// The increment of SplitMix64; callers add it to a value before mixing.
 constexpr std::uint64_t kSplitMixIncrement = 0x9e3779b97f4a7c15u;
 
 constexpr std::uint64_t split_mix(std::uint64_t value) {
--- a/src/decision/startup_phase.cpp
+++ b/src/decision/startup_phase.cpp
@@ -12,7 +12,7 @@
 void StartupPhase::on_list_received() {
     if (state_ != State::cold) return;
     enter(State::learning);
-    serve_once_confirmed();
+    enter_serving_if_confirmed();
 }
 
 void StartupPhase::on_request(int replica_group) {
@@ -22,10 +22,10 @@
 void StartupPhase::on_role_reported(int replica_group) {
     if (state_ == State::serving) return;
     confirmed_groups_.insert(replica_group);
-    serve_once_confirmed();
+    enter_serving_if_confirmed();
 }
 
-void StartupPhase::serve_once_confirmed() {
+void StartupPhase::enter_serving_if_confirmed() {
     if (state_ != State::learning || requested_groups_.empty()) return;
     const auto confirmed = std::count_if(requested_groups_.begin(), requested_groups_.end(),
                                          [this](int group) { return confirmed_groups_.count(group) > 0; });
@@ -38,11 +38,11 @@
 
 void StartupPhase::enter(State state) {
     state_ = state;
-    is_transition_logged_ = false;
+    is_transition_reported_ = false;
 }
 
-std::optional<std::string> StartupPhase::take_transition(Micros since_start_us) {
-    if (std::exchange(is_transition_logged_, true)) return std::nullopt;
+std::optional<std::string> StartupPhase::take_transition_message(Micros since_start_us) {
+    if (std::exchange(is_transition_reported_, true)) return std::nullopt;
     const char* state = state_ == State::learning ? "learning" : "serving";
     return std::string("startup phase: ") + state + " after " + std::to_string(since_start_us / 1000) + " ms";
 }
--- a/src/decision/startup_phase.h
+++ b/src/decision/startup_phase.h
@@ -1,10 +1,10 @@
-// What a router that has just started may believe. Time is not looked at.
+// Phases of a router's start, which determine whether a listed primary is trusted. Reads no clock.
 //
-//   cold      serves by the list from before its start, as old as that may be
-//   learning  discovery has sent a list since; endpoints are known by what the list says of them
-//   serving   in nine of ten replica groups that clients ask for, an endpoint has reported its own role
+//   cold      only an endpoint list stored before the start is known, and may be old
+//   learning  discovery has sent a list since the start; roles are known only from lists
+//   serving   in 90% of the replica groups that clients have requested, an endpoint has reported its role
 //
-// It moves on by evidence alone, never by time, and never back.
+// A phase is entered on evidence alone, never after a time, and is never left backwards.
 #pragma once
 
 #include <optional>
@@ -19,32 +19,34 @@
 public:
     enum class State { cold, learning, serving };
 
-    // Of the settings: whether endpoints check reads, and whether health checks report their status.
+    // Uses `position_check`, `health_checks_allowed` and `health_checks_report_status`.
     explicit StartupPhase(const Settings& settings);
 
-    void on_list_received();             // a list, whole or changes, that discovery has sent since the start
-    void on_request(int replica_group);  // a client has asked for the group
-    void on_role_reported(
-        int replica_group);  // an endpoint of it has reported whether it is primary or replica
+    void on_list_received();             // a list from discovery, not the cached one
+    void on_request(int replica_group);  // a client's request for the group has arrived
+    // An endpoint of the group has reported whether it is the primary or a replica.
+    void on_role_reported(int replica_group);
     State state() const { return state_; }
-    // A log line for each state that is reached, once. `since_start_us` is at least 0.
-    std::optional<std::string> take_transition(Micros since_start_us);
+    // Returns a log line if a phase was entered since the last call, otherwise std::nullopt. `since_start_us`
+    // is the time since the start, at least 0.
+    std::optional<std::string> take_transition_message(Micros since_start_us);
 
-    // Whether reads take an endpoint for their group's primary because a list says so, before it has said so
-    // itself. The list may be that of before the start: only where endpoints reject reads that they lag for,
-    // or where none can be asked.
+    // Whether reads may rely on a primary that is only listed and has not reported its role itself. The list
+    // may have been stored before the start, so this holds only if endpoints check positions themselves, or
+    // if health checks cannot report their roles.
     bool trusts_listed_primary() const { return trusts_listed_primary_; }
 
-    static constexpr double kConfirmedGroupRatio = 0.9;  // of the groups asked for: one may be out of reach
+    // Share of the requested groups that must be confirmed; the others may be unreachable.
+    static constexpr double kConfirmedGroupRatio = 0.9;
 
 private:
     void enter(State state);
-    void serve_once_confirmed();
+    void enter_serving_if_confirmed();
 
     bool trusts_listed_primary_;
     State state_ = State::cold;
-    bool is_transition_logged_ = true;
-    std::set<int> requested_groups_;  // both emptied once serving
+    bool is_transition_reported_ = true;
+    std::set<int> requested_groups_;  // both are cleared on entering `serving`
     std::set<int> confirmed_groups_;
 };
 
--- a/src/decision/write_throttle.h
+++ b/src/decision/write_throttle.h
@@ -1,10 +1,10 @@
 // Proportional admission of writes while replicas lag (the design's mechanism, after the paper on hot-shard
 // management that the design cites).
 //
-// A group is throttled while its slowest replica that has lately reported lags past the target; writes are
-// then admitted at the offered rate times apply speed over commit speed. A group's throttle lapses 3 s
-// after it was last renewed. Three departures from the design, each marked where it acts, keep writes from
-// being rejected for no one's benefit.
+// A replica group is throttled while its slowest replica with a recent report lags by more than the target.
+// Writes are then admitted at the offered rate times the ratio of apply speed to commit speed. The throttle
+// expires 3 s after its last update. Three departures from the design, each marked in the implementation,
+// avoid rejecting writes that would not help any read.
 #pragma once
 
 #include "endpoint.h"
@@ -15,14 +15,16 @@
 
 class WriteThrottle {
 public:
+    // The lag target is half the smallest staleness bound of the classes, or 500 ms if none has one.
     explicit WriteThrottle(const Settings& settings);
 
-    // Renews the group's entry where its replicas lag. Returns the slowest replica where writes become
-    // throttled by that, nullptr otherwise.
-    const Endpoint* renew(ReplicaGroup& group, const RouterState& state) const;
-    // Counts a write that has arrived; false where it is to be rejected.
+    // Updates the group's throttle if its replicas lag. Returns the slowest replica if that activates the
+    // throttle, otherwise nullptr.
+    const Endpoint* update(ReplicaGroup& group, const RouterState& state) const;
+    // Counts an arriving write, and returns whether it is admitted.
     static bool admit(ReplicaGroup& group, Time now);
-    // When the excess would fit: Retry-After of a write that was not admitted. `draw` lies in [0, 1).
+    // Returns the Retry-After of a write that was not admitted: about the time until it would be. `draw` is
+    // uniform in [0, 1).
     static Micros retry_after_us(const ReplicaGroup& group, Time now, double draw);
 
     Micros lag_target_us() const { return lag_target_us_; }
--- a/src/decision/zone_failover.cpp
+++ b/src/decision/zone_failover.cpp
@@ -8,11 +8,11 @@
     if (!state_.settings.health_checks_allowed) return;
     for (const int zone : state_.zones.find_newly_silent(state_.now, pending_attempts())) {
         actions.emplace_back(Log{"zone silent: " + std::to_string(zone)});
-        hedge_reads_of(zone, actions);
+        hedge_reads_in(zone, actions);
     }
     const double draw = state_.random.unit();
     for (const int zone : state_.zones.due_health_checks(state_.now, state_.settings.router_count, draw))
-        check_one_endpoint_of(zone, actions);
+        check_one_endpoint_in(zone, actions);
 }
 
 std::vector<ZoneHealth::PendingAttempt> ZoneFailover::pending_attempts() const {
@@ -23,12 +23,12 @@
     return pending;
 }
 
-void ZoneFailover::hedge_reads_of(int zone, Actions& actions) {
-    std::vector<RequestId> waiting;
+void ZoneFailover::hedge_reads_in(int zone, Actions& actions) {
+    std::vector<RequestId> waiting_ids;
     for (const auto& [id, request] : state_.requests)
-        if (waits_in(request, zone)) waiting.push_back(id);
-    std::sort(waiting.begin(), waiting.end());
-    for (const auto id : waiting) {
+        if (is_waiting_in(request, zone)) waiting_ids.push_back(id);
+    std::sort(waiting_ids.begin(), waiting_ids.end());
+    for (const auto id : waiting_ids) {
         if (retry_budget_.is_spent()) return;
         auto& request = state_.requests.at(id);
         const auto choice = load_balancer_.choose(request);
@@ -37,23 +37,23 @@
     }
 }
 
-bool ZoneFailover::waits_in(const Request& request, int zone) const {
+bool ZoneFailover::is_waiting_in(const Request& request, int zone) const {
     const bool is_idempotent = state_.class_of(request).idempotency == Idempotency::idempotent;
     if (request.open_attempts != 1 || !is_idempotent) return false;
     const auto endpoint = state_.endpoints.find(request.attempts.back().endpoint);
     return endpoint != state_.endpoints.end() && endpoint->second.zone == zone;
 }
 
-// Drawn evenly from those of the zone that may be forwarded to.
-void ZoneFailover::check_one_endpoint_of(int zone, Actions& actions) {
-    const Endpoint* drawn = nullptr;
-    int candidates = 0;
+// Selects uniformly among the endpoints of the zone that are neither draining nor removed.
+void ZoneFailover::check_one_endpoint_in(int zone, Actions& actions) {
+    const Endpoint* sampled_endpoint = nullptr;
+    int candidate_count = 0;
     for (const auto& [id, endpoint] : state_.endpoints) {
         if (endpoint.zone != zone || endpoint.is_leaving()) continue;
-        ++candidates;
-        if (state_.random.unit() * candidates < 1) drawn = &endpoint;
+        ++candidate_count;
+        if (state_.random.unit() * candidate_count < 1) sampled_endpoint = &endpoint;
     }
-    if (drawn) actions.emplace_back(StartHealthCheck{drawn->id});
+    if (sampled_endpoint) actions.emplace_back(StartHealthCheck{sampled_endpoint->id});
 }
 
 }  // namespace sloestack::decision
--- a/src/decision/zone_failover.h
+++ b/src/decision/zone_failover.h
@@ -1,5 +1,5 @@
-// What follows when a whole zone falls silent: reads that wait there are hedged elsewhere, and single health
-// checks find out when it is back. Its endpoints are used again as soon as one of them answers.
+// Failover from silent zones: reads in flight there are hedged in other zones, and single health checks
+// detect when the zone is reachable again. Its endpoints are used again as soon as one of them responds.
 #pragma once
 
 #include "load_balancer.h"
@@ -15,15 +15,16 @@
                  RetryBudget& retry_budget)
         : state_(state), load_balancer_(load_balancer), lifecycle_(lifecycle), retry_budget_(retry_budget) {}
 
-    // Looks for zones that have fallen silent and checks those that are; without health checks none ever is.
+    // Detects zones that have become silent, and starts health checks in silent zones. Does nothing unless
+    // health checks are allowed, so that no zone is ever silent then.
     void update(Actions& actions);
 
 private:
     std::vector<ZoneHealth::PendingAttempt> pending_attempts() const;
-    // Each hedged request is paid for like any further attempt.
-    void hedge_reads_of(int zone, Actions& actions);
-    bool waits_in(const Request& request, int zone) const;
-    void check_one_endpoint_of(int zone, Actions& actions);
+    // Hedges idempotent requests whose only attempt is in flight in the zone, within the retry budget.
+    void hedge_reads_in(int zone, Actions& actions);
+    bool is_waiting_in(const Request& request, int zone) const;
+    void check_one_endpoint_in(int zone, Actions& actions);
 
     RouterState& state_;
     LoadBalancer& load_balancer_;
--- a/tests/decision/decaying_rate_test.cpp
+++ b/tests/decision/decaying_rate_test.cpp
@@ -1,4 +1,4 @@
-// A rate that is forgotten exponentially over its window.
+// Tests of DecayingRate.
 #include "decaying_rate.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(DecayingRate, TellsASteadyRateFromItsBeginningOn) {
+TEST(DecayingRate, EstimatesASteadyRateFromItsFirstSamplesOn) {
     DecayingRate rate;
     for (Time at = 0; at <= 10'000'000; at += 10'000) {
         rate.add(at, 1);
@@ -17,7 +17,7 @@
     EXPECT_NEAR(rate.per_second(10'000'000), 100, 1);
 }
 
-TEST(DecayingRate, ForgetsOverItsWindow) {
+TEST(DecayingRate, DecaysOverItsWindow) {
     DecayingRate rate(2'000'000);
     EXPECT_EQ(rate.decayed_sum(0), 0);
     rate.add(1'000'000, 8);
--- a/tests/decision/discovery_poll_schedule_test.cpp
+++ b/tests/decision/discovery_poll_schedule_test.cpp
@@ -1,5 +1,5 @@
-// The schedule of calls to discovery: what one router does is within the operators' bound, and what all do is
-// within what discovery bears.
+// Tests of the poll schedule: the polls of one router meet the operators' bound on notifications, and those
+// of all routers stay within discovery's capacity.
 #include "discovery_poll_schedule.h"
 
 #include <gtest/gtest.h>
@@ -12,23 +12,23 @@
 
 using namespace sloestack::decision;
 
-constexpr double kHighest = 0.999'999'9;  // of a draw
+constexpr double kMaxDraw = 0.999'999'9;
 
-Settings of(int routers) {
-    Settings s;
-    s.router_count = routers;
-    s.discovery_is_polled = true;
-    return s;
+Settings polled_settings(int routers) {
+    Settings settings;
+    settings.router_count = routers;
+    settings.discovery_is_polled = true;
+    return settings;
 }
 
-Settings pushed(int routers) {
-    auto s = of(routers);
-    s.discovery_agent_is_local = true;
-    return s;
+Settings local_agent_settings(int routers) {
+    auto settings = polled_settings(routers);
+    settings.discovery_agent_is_local = true;
+    return settings;
 }
 
-// The most calls that any second sees.
-std::size_t most_in_a_second(std::vector<Micros> at) {
+// Returns the greatest number of polls in any second.
+std::size_t max_polls_in_a_second(std::vector<Micros> at) {
     std::sort(at.begin(), at.end());
     std::size_t most = 0;
     for (std::size_t i = 0, j = 0; i < at.size(); ++i) {
@@ -38,162 +38,172 @@
     return most;
 }
 
-// How discovery may fail a call, and after how long: at once, in its queue, or not at all.
-constexpr Micros kQueue = 2'000'000;
-const FailedPoll kFates[] = {
-    {true, 0},  {true, kQueue}, {true, 9'000'000}, {false, 0}, {false, PollBackoff::kPollTimeoutUs},
+// Ways in which a poll may fail: rejected at once, after its time in discovery's queue or as a long poll; or
+// broken at once, timed out, or of unknown duration.
+constexpr Micros kMaxQueueTime = 2'000'000;
+const FailedPoll kFailures[] = {
+    {true, 0},  {true, kMaxQueueTime}, {true, 9'000'000}, {false, 0}, {false, PollBackoff::kPollTimeoutUs},
     {false, {}}};
 
-// From the beginning of a call that fails so to the next one's, at most, however many have failed before it.
-Micros longest_between(const Settings& s, const FailedPoll& fate) {
-    PollBackoff c(s);
-    Micros most = 0;
-    for (int i = 0; i < 20; ++i) most = std::max(most, c.delay_after_failure(fate, kHighest));
-    // One that has been out for longer than any queue lets it wait was held: it had told of all before its
-    // end.
-    return most +
-           std::min(PollBackoff::kPollTimeoutUs, fate.duration_us.value_or(PollBackoff::kPollTimeoutUs));
+// Returns the longest time from the start of a poll that fails like this to the start of the next one, after
+// any number of failures.
+Micros max_poll_interval(const Settings& settings, const FailedPoll& failure) {
+    PollBackoff backoff(settings);
+    Micros longest = 0;
+    for (int i = 0; i < 20; ++i) longest = std::max(longest, backoff.delay_after_failure(failure, kMaxDraw));
+    // A poll that took longer than discovery queues any poll was held, and would have returned a change at
+    // once.
+    return longest +
+           std::min(PollBackoff::kPollTimeoutUs, failure.duration_us.value_or(PollBackoff::kPollTimeoutUs));
 }
 
-// One whose held call has been answered; its next call is held.
-PollTimeouts watching(const Settings& s) {
-    PollTimeouts t(s, 7);
-    t.on_list(false);
-    t.on_list(true);
-    return t;
+// Returns the time-outs of a router whose last long poll has returned a list; its next poll is a long poll.
+PollTimeouts timeouts_after_long_poll(const Settings& settings) {
+    PollTimeouts timeouts(settings, 7);
+    timeouts.on_list(false);
+    timeouts.on_list(true);
+    return timeouts;
 }
 
-TEST(PollBackoff, EveryChainOfWaitsIsUnderSixSeconds) {
+TEST(PollBackoff, KeepsEveryChainOfWaitsUnderTheNotificationBound) {
     for (int routers = 1; routers <= 2000; ++routers)
-        for (const auto& s : {of(routers), pushed(routers)}) {
-            const Micros patience = PollTimeouts(s, 1).next().timeout_us;
-            EXPECT_LE(patience, PollBackoff::kPollTimeoutUs);
-            auto t = watching(s);
-            const Micros silent = t.next().timeout_us;
-            t.on_silence(true);
-            const Micros behind_silence = t.next().timeout_us;
-            EXPECT_LT(silent + behind_silence, PollBackoff::kNotificationBoundUs) << routers;
-            for (const auto& fate : kFates)
-                EXPECT_LT(longest_between(s, fate) + patience, PollBackoff::kNotificationBoundUs) << routers;
-            EXPECT_LT(PollBackoff(s).first_poll_delay(kHighest) + patience, PollBackoff::kNotificationBoundUs)
+        for (const auto& settings : {polled_settings(routers), local_agent_settings(routers)}) {
+            const Micros timeout = PollTimeouts(settings, 1).next().timeout_us;
+            EXPECT_LE(timeout, PollBackoff::kPollTimeoutUs);
+            auto timeouts = timeouts_after_long_poll(settings);
+            const Micros long_poll_timeout = timeouts.next().timeout_us;
+            timeouts.on_silence(true);
+            const Micros short_timeout = timeouts.next().timeout_us;
+            EXPECT_LT(long_poll_timeout + short_timeout, PollBackoff::kNotificationBoundUs) << routers;
+            for (const auto& failure : kFailures)
+                EXPECT_LT(max_poll_interval(settings, failure) + timeout, PollBackoff::kNotificationBoundUs)
+                    << routers;
+            EXPECT_LT(PollBackoff(settings).first_poll_delay(kMaxDraw) + timeout,
+                      PollBackoff::kNotificationBoundUs)
                 << routers;
-            auto refused = watching(s);
-            refused.on_rejection(false);
-            EXPECT_LT(refused.next().timeout_us + behind_silence, PollBackoff::kNotificationBoundUs)
+            auto after_rejection = timeouts_after_long_poll(settings);
+            after_rejection.on_rejection(false);
+            EXPECT_LT(after_rejection.next().timeout_us + short_timeout, PollBackoff::kNotificationBoundUs)
                 << routers;
-            if (routers > 166 && !s.discovery_agent_is_local) continue;
-            for (const auto& fate : {kFates[0], kFates[3], FailedPoll{false, behind_silence}}) {
-                auto after = t;
-                fate.rejected ? after.on_rejection(false) : after.on_silence(false);
-                const Micros answered_by =
-                    fate.rejected ? PollBackoff::kPollTimeoutUs : after.next().timeout_us;
-                EXPECT_LT(silent + *fate.duration_us + PollBackoff(s).delay_after_failure(fate, kHighest) +
-                              answered_by,
+            if (routers > 166 && !settings.discovery_agent_is_local) continue;
+            for (const auto& failure : {kFailures[0], kFailures[3], FailedPoll{false, short_timeout}}) {
+                auto after_failure = timeouts;
+                failure.rejected ? after_failure.on_rejection(false) : after_failure.on_silence(false);
+                const Micros next_timeout =
+                    failure.rejected ? PollBackoff::kPollTimeoutUs : after_failure.next().timeout_us;
+                EXPECT_LT(long_poll_timeout + *failure.duration_us +
+                              PollBackoff(settings).delay_after_failure(failure, kMaxDraw) + next_timeout,
                           PollBackoff::kNotificationBoundUs)
                     << routers;
             }
         }
 }
 
-TEST(PollBackoff, FailedCallsBackOffWithFullJitterUntilOneIsAnswered) {
-    const FailedPoll broken{false, 0}, refused{true, 0};
-    PollBackoff c(of(3));
-    EXPECT_EQ(c.delay_after_failure(broken, 0), 1) << "all of the wait is drawn";
-    EXPECT_EQ(c.delay_after_failure(broken, 0.5), 300'001);
-    EXPECT_EQ(c.delay_after_failure(broken, 0.5), 600'001);
-    EXPECT_EQ(c.delay_after_failure(refused, 0.5), 1'750'001)
-        << "capped, so that the chain stays within its bound";
-    c.on_list_received();
-    EXPECT_EQ(c.delay_after_failure(broken, 0.5), 150'001);
-    c.on_list_received();
-    EXPECT_EQ(c.delay_after_failure(refused, 0.5), 500'001) << "longer where discovery has too much to do";
+TEST(PollBackoff, BacksOffWithFullJitterUntilAListIsReceived) {
+    const FailedPoll broken{false, 0}, rejected{true, 0};
+    PollBackoff backoff(polled_settings(3));
+    EXPECT_EQ(backoff.delay_after_failure(broken, 0), 1) << "the jitter covers the whole delay";
+    EXPECT_EQ(backoff.delay_after_failure(broken, 0.5), 300'001);
+    EXPECT_EQ(backoff.delay_after_failure(broken, 0.5), 600'001);
+    EXPECT_EQ(backoff.delay_after_failure(rejected, 0.5), 1'750'001)
+        << "limited to keep the chain of waits within its bound";
+    backoff.on_list_received();
+    EXPECT_EQ(backoff.delay_after_failure(broken, 0.5), 150'001);
+    backoff.on_list_received();
+    EXPECT_EQ(backoff.delay_after_failure(rejected, 0.5), 500'001) << "longer if discovery is overloaded";
 }
 
-// A call let in is worth waiting for: discovery itself refuses one that has waited for 2 s.
-TEST(PollBackoff, NoCallIsGivenUpThatDiscoveryMayStillAnswer) {
+// Guards against abandoned polls that discovery would still answer: it rejects polls itself after 2 s in its
+// queue.
+TEST(PollTimeouts, WaitsLongerThanDiscoveryQueuesAPoll) {
     for (const int routers : {1, 3, 30, 300, 1700}) {
-        PollTimeouts t(of(routers), 7);
-        EXPECT_GT(t.next().timeout_us, kQueue) << routers;
-        t.on_list(false);
-        t.on_silence(true);
-        t.on_rejection(false);
-        const auto held = t.next();
-        EXPECT_GT(held.hold_us, 0) << routers << ": one call in place of two";
-        EXPECT_GT(held.timeout_us, held.hold_us + kQueue) << routers;
+        PollTimeouts timeouts(polled_settings(routers), 7);
+        EXPECT_GT(timeouts.next().timeout_us, kMaxQueueTime) << routers;
+        timeouts.on_list(false);
+        timeouts.on_silence(true);
+        timeouts.on_rejection(false);
+        const auto long_poll = timeouts.next();
+        EXPECT_GT(long_poll.hold_us, 0) << routers << ": one poll rather than two";
+        EXPECT_GT(long_poll.timeout_us, long_poll.hold_us + kMaxQueueTime) << routers;
     }
 }
 
-TEST(PollBackoff, HeldCallsThatAreRefusedAgainAndAgainAreHeldForLonger) {
-    auto t = watching(of(3));
-    t.on_rejection(true);
-    t.on_list(true);
-    EXPECT_EQ(t.next().hold_us, 2'000'000) << "one alone says nothing";
-    for (int i = 0; i < 9; ++i) t.on_rejection(true);
-    EXPECT_EQ(t.next().hold_us, PollTimeouts::kMaxHoldUs);
-    for (int i = 0; i < 40; ++i) t.on_list(true);
-    EXPECT_EQ(t.next().hold_us, 2'000'000) << "and less again, step by step";
+TEST(PollTimeouts, ExtendsTheHoldTimeWhileLongPollsAreRejected) {
+    auto timeouts = timeouts_after_long_poll(polled_settings(3));
+    timeouts.on_rejection(true);
+    timeouts.on_list(true);
+    EXPECT_EQ(timeouts.next().hold_us, 2'000'000) << "a single rejection does not extend it";
+    for (int i = 0; i < 9; ++i) timeouts.on_rejection(true);
+    EXPECT_EQ(timeouts.next().hold_us, PollTimeouts::kMaxHoldUs);
+    for (int i = 0; i < 40; ++i) timeouts.on_list(true);
+    EXPECT_EQ(timeouts.next().hold_us, 2'000'000) << "it decreases again step by step";
 }
 
-// Whoever has an agent of its own takes nobody's share, and what the agent has counts at once.
-TEST(PollBackoff, AnOwnAgentIsCalledAtOnceAndSoonAgain) {
+// No other router polls a local agent, and a change counts as notified as soon as the agent has it.
+TEST(PollBackoff, PollsALocalAgentAtOnceAndSoonAfterAFailure) {
     for (const int routers : {1, 300}) {
-        PollBackoff c(pushed(routers));
-        EXPECT_EQ(c.first_poll_delay(kHighest), 1);
+        PollBackoff backoff(local_agent_settings(routers));
+        EXPECT_EQ(backoff.first_poll_delay(kMaxDraw), 1);
         for (int i = 0; i < 10; ++i)
-            for (const auto& fate : kFates)
-                EXPECT_LE(c.delay_after_failure(fate, kHighest), PollBackoff::kLocalAgentMaxBackoffUs);
-        EXPECT_EQ(watching(pushed(routers)).next().hold_us, watching(of(1)).next().hold_us);
+            for (const auto& failure : kFailures)
+                EXPECT_LE(backoff.delay_after_failure(failure, kMaxDraw),
+                          PollBackoff::kLocalAgentMaxBackoffUs);
+        EXPECT_EQ(timeouts_after_long_poll(local_agent_settings(routers)).next().hold_us,
+                  timeouts_after_long_poll(polled_settings(1)).next().hold_us);
     }
 }
 
-// First calls of all that start at once: no second sees more than the budget, whatever N up to 300.
-TEST(PollBackoff, FirstCallsAreSpreadOverAWindowThatGrowsWithTheRouters) {
+// Guards against a burst of first polls if up to 300 routers start at once.
+TEST(PollBackoff, SpreadsFirstPollsOverAWindowThatGrowsWithTheRouters) {
     std::mt19937_64 random(7);
     std::uniform_real_distribution<> unit;
     for (const int routers : {1, 3, 50})
-        EXPECT_LE(PollBackoff(of(routers)).first_poll_delay(kHighest), 700'000);
+        EXPECT_LE(PollBackoff(polled_settings(routers)).first_poll_delay(kMaxDraw), 700'000);
     for (const int routers : {3, 87, 100, 300}) {
         std::vector<Micros> at;
         for (int i = 0; i < routers; ++i)
-            at.push_back(PollBackoff(of(routers)).first_poll_delay(unit(random)));
-        EXPECT_LE(most_in_a_second(at), 165u) << routers;  // 125 a second and what chance adds
+            at.push_back(PollBackoff(polled_settings(routers)).first_poll_delay(unit(random)));
+        EXPECT_LE(max_polls_in_a_second(at), 165u) << routers;  // 125 per second plus random variation
     }
-    EXPECT_LE(PollBackoff(of(1000)).first_poll_delay(kHighest), 2'400'000);
+    EXPECT_LE(PollBackoff(polled_settings(1000)).first_poll_delay(kMaxDraw), 2'400'000);
 }
 
-// Discovery answers none of them, again and again, from a start of all at once: no second sees more calls
-// than the first calls' budget and a draw's chance.
-TEST(PollBackoff, AFleetWhoseCallsAreNotAnsweredKeepsToItsBudget) {
+// Guards against synchronized retries if all routers start at once and discovery never responds: no second
+// may have more polls than the budget of the first polls plus random variation.
+TEST(PollBackoff, KeepsTheRetriesOfAFleetWithinItsBudget) {
     std::mt19937_64 random(7);
     std::uniform_real_distribution<> unit;
     std::vector<Micros> at;
     for (int i = 0; i < 300; ++i) {
-        PollBackoff c(of(300));
-        for (Micros t = c.first_poll_delay(unit(random)); t < 30'000'000;
-             t += PollBackoff::kPollTimeoutUs +
-                  c.delay_after_failure({false, PollBackoff::kPollTimeoutUs}, unit(random)))
-            at.push_back(t);
+        PollBackoff backoff(polled_settings(300));
+        for (Micros time = backoff.first_poll_delay(unit(random)); time < 30'000'000;
+             time += PollBackoff::kPollTimeoutUs +
+                     backoff.delay_after_failure({false, PollBackoff::kPollTimeoutUs}, unit(random)))
+            at.push_back(time);
     }
-    EXPECT_LE(most_in_a_second(at), 190u);
+    EXPECT_LE(max_polls_in_a_second(at), 190u);
 }
 
-// In quiet times every router has one held call out.
-TEST(PollBackoff, HeldCallsOfAFleetKeepToABudget) {
+// Without changes every router has one long poll in flight.
+TEST(PollTimeouts, KeepsLongPollsWithinTheFleetBudget) {
     for (int routers = 1; routers <= 300; ++routers)
-        EXPECT_LE(routers * 1e6 / static_cast<double>(watching(of(routers)).next().hold_us), 90) << routers;
+        EXPECT_LE(routers * 1e6 /
+                      static_cast<double>(timeouts_after_long_poll(polled_settings(routers)).next().hold_us),
+                  90)
+            << routers;
 }
 
-TEST(PollBackoff, FirstHoldsAreSpreadEvenly) {
+TEST(PollTimeouts, SpreadsFirstHoldTimesEvenly) {
     std::vector<int> tenths(10);
     for (std::uint64_t seed = 0; seed < 10'000; ++seed) {
-        PollTimeouts t(of(3), seed);
-        t.on_list(false);
-        const auto hold = t.next().hold_us;
+        PollTimeouts timeouts(polled_settings(3), seed);
+        timeouts.on_list(false);
+        const auto hold = timeouts.next().hold_us;
         ASSERT_GE(hold, 1'000);
         ASSERT_LE(hold, 2'000'000);
         ++tenths[static_cast<std::size_t>((hold - 1'000) / 200'000)];
     }
-    for (const int n : tenths) EXPECT_NEAR(n, 1000, 150);
+    for (const int count : tenths) EXPECT_NEAR(count, 1000, 150);
 }
 
 }  // namespace
--- a/tests/decision/endpoint_registry_test.cpp
+++ b/tests/decision/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// What a draining or removed endpoint may still get.
+// Tests of EndpointRegistry with a whole router: requests after an endpoint is draining or removed.
 #include <gtest/gtest.h>
 
 #include "router_fixture.h"
@@ -6,7 +6,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(EndpointRegistry, NothingNewGoesToADrainingOrRemovedEndpoint) {
+TEST(EndpointRegistry, ExcludesDrainingAndRemovedEndpoints) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(1);
     fixture.endpoint_list(EndpointListKind::changes,
@@ -21,21 +21,22 @@
     }
 }
 
-TEST(EndpointRegistry, ARemovedPrimaryIsKeptWhereRemovalIsAdvisory) {
-    for (const bool advice : {true, false}) {
+TEST(EndpointRegistry, KeepsARemovedPrimaryIfRemovalIsAdvisory) {
+    for (const bool is_advisory : {true, false}) {
         auto settings = default_settings();
-        settings.removal_is_advisory = advice;
+        settings.removal_is_advisory = is_advisory;
         RouterFixture fixture(settings);
         fixture.establish_primary(2);
         fixture.endpoint_list(EndpointListKind::complete, {});
         fixture.arrive(1, kWrite);
         fixture.step(1000);
-        EXPECT_EQ(fixture.forwarded_to(1).has_value(), advice);
+        EXPECT_EQ(fixture.forwarded_to(1).has_value(), is_advisory);
     }
 }
 
-// It drained first, so it is forgotten in the end, though removal alone would not have bound the router.
-TEST(EndpointRegistry, AForgottenPrimaryIsNoPrimaryWhereRemovalIsAdvisory) {
+// A draining endpoint is erased 60 s after its removal, although removal is only advisory: the group must
+// then find another primary.
+TEST(EndpointRegistry, DropsAnErasedPrimaryIfRemovalIsAdvisory) {
     auto settings = default_settings();
     settings.removal_is_advisory = true;
     settings.health_checks_allowed = true;
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// The capacity that a router may use.
+// Tests of LoadBalancer with a whole router: the capacity of an endpoint.
 #include <gtest/gtest.h>
 
 #include "router_fixture.h"
@@ -6,8 +6,9 @@
 namespace sloestack::decision::test {
 namespace {
 
-// Incident i333a33: the requests that may always be in flight at an endpoint are shared by all routers.
-TEST(LoadBalancer, CapacityOfAnUnknownEndpointIsSharedByTheRouters) {
+// Guards against overload if every router uses the minimum capacity of an endpoint by itself: all routers
+// share it (incident i333a33).
+TEST(LoadBalancer, SharesTheMinimumCapacityOfAnEndpointAmongRouters) {
     const auto forwarded = [](int router_count) {
         auto settings = default_settings();
         settings.router_count = router_count;
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints judged by latency, errors and silence.
+// Tests of OutlierDetection with a whole router: endpoints that are slow, fail or do not respond.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -10,13 +10,13 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(OutlierDetection, AHungEndpointLosesItsTraffic) {
+TEST(OutlierDetection, StopsForwardingToAHangingEndpoint) {
     auto settings = default_settings();
     RouterFixture fixture(settings);
     fixture.establish_primary(1);
     RequestId id = 1;
     std::vector<std::pair<RequestId, EndpointId>> in_flight;
-    int to_hung = 0;
+    int to_hanging = 0;
     for (int i = 0; i < 200; ++i) {
         for (const auto& [request, endpoint] : in_flight)
             if (endpoint != 3)
@@ -27,15 +27,16 @@
         fixture.fire_timer(5'000);
         if (const auto to = fixture.forwarded_to(id)) {
             in_flight.emplace_back(id, *to);
-            if (i > 120) to_hung += *to == 3;
+            if (i > 120) to_hanging += *to == 3;
         }
         ++id;
     }
-    EXPECT_LE(to_hung, 2);
+    EXPECT_LE(to_hanging, 2);
 }
 
-// Incident i327c69: single broken connections ejected healthy endpoints, which then went through slow start.
-TEST(OutlierDetection, SeveralBrokenConnectionsEjectAnEndpointButSingleOnesDoNot) {
+// Guards against the ejection of healthy endpoints, with a slow start after it, because of single broken
+// connections (incident i327c69).
+TEST(OutlierDetection, EjectsAfterConsecutiveDisconnectsButNotAfterSingleOnes) {
     for (const bool dead : {false, true}) {
         RouterFixture fixture(default_settings(), 2);
         fixture.establish_primary(1, 2);
@@ -49,8 +50,9 @@
             if (*to == 2 && (dead || id % 7 == 0)) {
                 fixture.attempt_ended(id, 2, Outcome::reset, Role::unknown, 0);
                 fixture.step();
-                if (const auto again = fixture.forwarded_to(id))
-                    fixture.answered(id, *again, *again == 1 ? Role::primary : Role::replica,
+                if (const auto retry_endpoint = fixture.forwarded_to(id))
+                    fixture.answered(id, *retry_endpoint,
+                                     *retry_endpoint == 1 ? Role::primary : Role::replica,
                                      fixture.now - 1000);
             } else {
                 fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1000);
@@ -64,8 +66,8 @@
     }
 }
 
-// A reused connection may have gone stale while idle: its reset is no evidence against the endpoint.
-TEST(OutlierDetection, ResetsOfReusedConnectionsAreNotCounted) {
+// A reused connection may have been closed while idle, so its reset is no evidence against the endpoint.
+TEST(OutlierDetection, IgnoresResetsOfReusedConnections) {
     for (const bool reused : {false, true}) {
         RouterFixture fixture(default_settings(), 2);
         fixture.establish_primary(1, 2);
@@ -82,8 +84,9 @@
     }
 }
 
-// Incident i3bb5bf: an endpoint that answers some requests well and loses the rest is unhealthy.
-TEST(OutlierDetection, TimeoutsCountAsSlowAnswers) {
+// Guards against an endpoint that keeps its traffic because it serves some requests quickly and loses the
+// rest (incident i3bb5bf).
+TEST(OutlierDetection, CountsTimeoutsAsSlowResponses) {
     RouterFixture fixture(default_settings(), 3);
     fixture.establish_primary(1);
     int to_second = 0;
@@ -104,19 +107,19 @@
     EXPECT_LT(2 * to_third, to_second);
 }
 
-TEST(OutlierDetection, OneSlowRequestIsNotEnough) {
+TEST(OutlierDetection, KeepsAnEndpointWithOneSlowRequest) {
     RouterFixture fixture(default_settings(), 1);
     fixture.establish_primary(1, 1);
     fixture.arrive(1, kAnyRead);
     fixture.step(1000);
     ASSERT_EQ(fixture.forwarded_to(1), 1u);
-    for (int i = 0; i < 60; ++i) fixture.fire_timer();  // 300 ms, seven times the usual latency
+    for (int i = 0; i < 60; ++i) fixture.fire_timer();  // 300 ms, seven times the baseline latency
     fixture.arrive(2, kAnyRead);
     fixture.step(1000);
     EXPECT_EQ(fixture.forwarded_to(2), 1u);
 }
 
-// The count is shown to operators: endpoints ejected by the router, not those that are draining anyway.
+// The count is reported to operators and excludes ejected endpoints that are draining.
 TEST(OutlierDetection, CountsEjectedEndpoints) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(1);
@@ -138,8 +141,8 @@
     EXPECT_EQ(fixture.router.ejected_endpoint_count(), 0u);
 }
 
-// A single outstanding request is not evidence: it may be queued behind other routers' requests.
-TEST(OutlierDetection, ASingleUnansweredRequestIsNotEnough) {
+// A single unanswered request may be queued behind other routers' requests.
+TEST(OutlierDetection, NeedsTwoUnansweredRequestsToEject) {
     RouterFixture fixture(default_settings(), 1);
     fixture.establish_primary(1, 1);
     fixture.arrive(1, kWrite);
@@ -152,30 +155,30 @@
     EXPECT_EQ(fixture.router.ejected_endpoint_count(), 1u);
 }
 
-// Fast answers do not make an endpoint healthy if they are errors or rejections.
-TEST(OutlierDetection, ErrorsAndOverloadCountAsSlowAnswers) {
-    for (const auto bad : {Outcome::error, Outcome::overloaded}) {
+// Guards against a failing endpoint that attracts traffic because its errors or rejections are fast.
+TEST(OutlierDetection, CountsErrorsAndOverloadAsSlowResponses) {
+    for (const auto failure : {Outcome::error, Outcome::overloaded}) {
         auto settings = default_settings();
         settings.router_count = 300;
         settings.max_attempts = 1;
         RouterFixture fixture(settings, 3);
         fixture.establish_primary(1);
-        int at_bad = 0;
+        int to_failing = 0;
         int forwarded = 0;
         for (RequestId id = 1; id <= 200; ++id) {
             fixture.now += 1'000'000;
             fixture.arrive(id, kAnyRead);
             fixture.step();
             const auto to = fixture.forwarded_to(id);
-            if (!to) continue;  // rejected, as some are after failures
-            at_bad += *to == 2;
+            if (!to) continue;  // some reads are rejected after failures
+            to_failing += *to == 2;
             ++forwarded;
-            fixture.attempt_ended(id, *to, *to == 2 ? bad : Outcome::ok, Role::unknown, 0, *to != 2);
+            fixture.attempt_ended(id, *to, *to == 2 ? failure : Outcome::ok, Role::unknown, 0, *to != 2);
             fixture.step();
         }
         EXPECT_GT(forwarded, 150);
-        EXPECT_LT(at_bad, forwarded / 5) << "far less than a third";
-        EXPECT_GT(at_bad, 2) << "but it is tried again";
+        EXPECT_LT(to_failing, forwarded / 5) << "far less than a third";
+        EXPECT_GT(to_failing, 2) << "it still gets some requests";
     }
 }
 
--- a/tests/decision/pending_queue_test.cpp
+++ b/tests/decision/pending_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait for capacity.
+// Tests of PendingQueue with a whole router.
 #include <gtest/gtest.h>
 
 #include "router_fixture.h"
@@ -6,7 +6,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(PendingQueue, RequestIsRejectedBeforeItsDeadlineWithARetryAfter) {
+TEST(PendingQueue, RejectsARequestBeforeItsDeadlineWithARetryAfter) {
     RouterFixture fixture(default_settings(), 0);
     fixture.arrive(1, kAnyRead);
     fixture.step(1000);
--- a/tests/decision/position_history_test.cpp
+++ b/tests/decision/position_history_test.cpp
@@ -1,4 +1,4 @@
-// The speed of a replica's log position, and how long a report of it counts as recent.
+// Tests of PositionHistory.
 #include "position_history.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(PositionHistory, HasNoSpeedUntilItsSamplesSpanEnoughTime) {
+TEST(PositionHistory, ReturnsNoSpeedUntilItsSamplesSpanEnoughTime) {
     PositionHistory history;
     history.record({1'000'000, 900'000});
     EXPECT_FALSE(history.speed());
@@ -17,7 +17,7 @@
     EXPECT_DOUBLE_EQ(*history.speed(), 0.5);
 }
 
-TEST(PositionHistory, ReplacesASampleOfTheSameTime) {
+TEST(PositionHistory, ReplacesASampleWithTheSameTime) {
     PositionHistory history;
     history.record({0, 0});
     history.record({200'000, 50'000});
@@ -26,13 +26,13 @@
     EXPECT_DOUBLE_EQ(*history.speed(), 1.0);
 }
 
-TEST(PositionHistory, StaysFreshForLongerWhereSamplesAreRare) {
-    PositionHistory often;
-    PositionHistory seldom;
-    for (Time at = 0; at <= 4'000'000; at += 100'000) often.record({at, at});
-    for (Time at = 0; at <= 4'000'000; at += 1'000'000) seldom.record({at, at});
-    EXPECT_EQ(often.freshness_window_us(), 1'000'000);
-    EXPECT_EQ(seldom.freshness_window_us(), 3'000'000);
+TEST(PositionHistory, ExtendsTheFreshnessWindowIfSamplesAreRare) {
+    PositionHistory frequent;
+    PositionHistory rare;
+    for (Time at = 0; at <= 4'000'000; at += 100'000) frequent.record({at, at});
+    for (Time at = 0; at <= 4'000'000; at += 1'000'000) rare.record({at, at});
+    EXPECT_EQ(frequent.freshness_window_us(), 1'000'000);
+    EXPECT_EQ(rare.freshness_window_us(), 3'000'000);
 }
 
 }  // namespace
--- a/tests/decision/primary_tracker_test.cpp
+++ b/tests/decision/primary_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Who the primary is, and the search for it.
+// Tests of PrimaryTracker with a whole router: detection of the primary and the search for it.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 namespace sloestack::decision::test {
 namespace {
 
-// A load report is older than the answer that carries it: after a failover each answer made the old primary
-// the primary again for a moment.
-TEST(PrimaryTracker, AnOldReportDoesNotRestoreADemotedPrimary) {
+// Guards against a demoted primary that becomes the primary again with each response after a failover,
+// because a load report is older than the response that carries it.
+TEST(PrimaryTracker, IgnoresOutdatedReportsOfADemotedPrimary) {
     RouterFixture fixture(default_settings(), 2);
     fixture.establish_primary(1, 2);
     fixture.health_check_ended(1, Role::replica, fixture.now - 1000);
@@ -24,8 +24,9 @@
     EXPECT_TRUE(fixture.logged("primary found"));
 }
 
-// Declined writes are load too, also on an endpoint in slow start.
-TEST(PrimaryTracker, TrialWritesAreSpreadOverTheRouters) {
+// Guards against overload by trial writes of many routers: declined writes are load too, also for
+// an endpoint in slow start.
+TEST(PrimaryTracker, LimitsTrialWritesByTheRouterCount) {
     const auto forwarded = [](int router_count) {
         auto settings = default_settings();
         settings.router_count = router_count;
@@ -42,9 +43,9 @@
     EXPECT_LE(forwarded(100), 2);
 }
 
-// All routers of a large fleet lose the same primary at once: their health checks together must not overload
-// its group.
-TEST(PrimaryTracker, ManyRoutersCheckHealthLessOften) {
+// Guards against overload of a replica group by health checks when all routers of a large fleet lose its
+// primary at once.
+TEST(PrimaryTracker, LimitsHealthChecksByTheRouterCount) {
     const auto health_checks_in_half_a_second = [](int router_count) {
         auto settings = default_settings();
         settings.router_count = router_count;
@@ -64,8 +65,9 @@
     EXPECT_GE(health_checks_in_half_a_second(4), 3);
 }
 
-// 100 routers that each check 60 endpoints at their start would send 6,000 health checks.
-TEST(PrimaryTracker, FirstHealthChecksAreAShareOfABudget) {
+// Guards against a burst of health checks when a fleet starts: 100 routers that each check 60 endpoints would
+// send 6,000.
+TEST(PrimaryTracker, KeepsFirstHealthChecksOfAFleetWithinABudget) {
     const auto health_checks_by = [](int router_count) {
         int count = 0;
         for (int i = 0; i < router_count; ++i) {
@@ -77,13 +79,13 @@
         return count;
     };
     EXPECT_EQ(health_checks_by(3), 15);
-    const int many = health_checks_by(100);
-    EXPECT_GT(many, 10);
-    EXPECT_LT(many, 50);
+    const int of_large_fleet = health_checks_by(100);
+    EXPECT_GT(of_large_fleet, 10);
+    EXPECT_LT(of_large_fleet, 50);
 }
 
-// A replica group without a primary is checked for the requests that wait for it; at most routers none do.
-TEST(PrimaryTracker, AReplicaGroupWithoutPendingRequestsIsNotChecked) {
+// In larger fleets only routers with queued requests search for a primary by health checks; most have none.
+TEST(PrimaryTracker, DoesNotCheckAReplicaGroupWithoutQueuedRequests) {
     RouterFixture fixture(fleet_settings(8), 3);
     fixture.establish_primary(1);
     fixture.arrive(1, kAnyRead);
--- a/tests/decision/read_admission_test.cpp
+++ b/tests/decision/read_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission of reads by the share served in time.
+// Tests of ReadAdmission with a whole router.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -11,8 +11,9 @@
 namespace sloestack::decision::test {
 namespace {
 
-// Incident ifffa58: an answer after the latency objective does not count as goodput.
-TEST(ReadAdmission, FollowsTheShareServedInTime) {
+// Guards against full queues that serve only late responses: a response after the latency objective is
+// not goodput (incident ifffa58).
+TEST(ReadAdmission, AdmitsByTheShareServedInTime) {
     const auto rejected = [](Micros latency) {
         RouterFixture fixture(default_settings(), 2);
         fixture.establish_primary(1, 2);
@@ -35,14 +36,14 @@
     EXPECT_GT(rejected(300'000), 150);
 }
 
-// One late read may be chance where a router sends a replica group little; many are evidence.
-TEST(ReadAdmission, LittleEvidenceRejectsFewReads) {
-    const auto rejected_after = [](int late) {
+// If a router sends few reads to a replica group, one late read may be chance; many are evidence.
+TEST(ReadAdmission, RejectsFewReadsAfterASingleLateOne) {
+    const auto rejected_after = [](int late_reads) {
         int rejected = 0;
         for (std::uint64_t seed = 1; seed <= 100; ++seed) {
             RouterFixture fixture(fleet_settings(100), 5, seed);
             fixture.establish_primary(1, 5);
-            for (RequestId id = 1; id <= static_cast<RequestId>(late); ++id) {
+            for (RequestId id = 1; id <= static_cast<RequestId>(late_reads); ++id) {
                 fixture.arrive(id, kAnyRead);
                 fixture.step();
                 const auto to = fixture.forwarded_to(id);
--- a/tests/decision/read_consistency_test.cpp
+++ b/tests/decision/read_consistency_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints may answer a read, by its consistency.
+// Tests of ReadConsistency with a whole router: which endpoints serve a read.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,10 +8,11 @@
 namespace sloestack::decision::test {
 namespace {
 
-// The last write of the session may have gone through the process that this one replaced.
-TEST(ReadConsistency, UnknownSessionSeesAllWritesBeforeTheStart) {
+// Guards against stale session reads after a restart: the session's last write may have been forwarded by the
+// predecessor of this router.
+TEST(ReadConsistency, RequiresAllWritesBeforeTheStartForAnUnknownSession) {
     RouterFixture fixture(default_settings());
-    fixture.establish_primary(2);  // the replicas are at 10 ms before the start
+    fixture.establish_primary(2);  // the replicas' positions are 10 ms before the start
     for (RequestId id = 1; id <= 20; ++id) {
         fixture.arrive(id, kSessionRead, 7);
         fixture.step(1000);
@@ -34,7 +35,7 @@
     EXPECT_GT(used.size(), 1u);
 }
 
-TEST(ReadConsistency, LinearizableReadGoesToThePrimary) {
+TEST(ReadConsistency, SendsALinearizableReadToThePrimary) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(3);
     fixture.arrive(1, kLinearizableRead);
@@ -42,7 +43,7 @@
     EXPECT_EQ(fixture.forwarded_to(1), 3u);
 }
 
-TEST(ReadConsistency, BoundedReadAvoidsReplicasOfUnknownOrOldPosition) {
+TEST(ReadConsistency, ExcludesReplicasWithUnknownOrOldPositionsForABoundedRead) {
     RouterFixture fixture(default_settings());
     for (RequestId id = 1; id <= 20; ++id) fixture.arrive(id, kBoundedRead);
     fixture.step(1000);
@@ -55,7 +56,7 @@
     }
 }
 
-TEST(ReadConsistency, SessionSeesItsOwnWrite) {
+TEST(ReadConsistency, RequiresTheSessionsOwnWrite) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(1);
     fixture.arrive(1, kWrite, 7);
@@ -71,7 +72,9 @@
     }
 }
 
-TEST(ReadConsistency, AnExpiredSessionTokenStillBindsAnEndpointFromAnOlderCopy) {
+// Guards against stale session reads from an endpoint that joins with an older copy after the session's token
+// was erased.
+TEST(ReadConsistency, AppliesAnErasedSessionTokenToAnEndpointFromAnOlderCopy) {
     RouterFixture fixture(default_settings(), 2);
     fixture.establish_primary(1, 2);
     fixture.arrive(1, kWrite, 7);
@@ -80,7 +83,7 @@
     fixture.answered(1, 1, Role::primary, commit);
     fixture.step(1000);
     fixture.establish_primary(1, 2);
-    for (int i = 0; i < 500; ++i) {  // all endpoints pass the token, which is then dropped
+    for (int i = 0; i < 500; ++i) {  // all endpoints pass the token, which is then erased
         fixture.fire_timer();
         if (i % 20 == 0) fixture.establish_primary(1, 2);
     }
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,5 @@
-// When a failed attempt is retried, and what the client is told otherwise.
+// Tests of RetryPolicy with a whole router: when a failed attempt is retried, and otherwise rejected or
+// failed.
 #include <gtest/gtest.h>
 
 #include "router_fixture.h"
@@ -6,7 +7,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(RetryPolicy, NonIdempotentWriteIsNotRetriedOnceItMayHaveRun) {
+TEST(RetryPolicy, FailsANonIdempotentWriteThatMayHaveRun) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(2);
     fixture.arrive(1, kWrite);
@@ -19,7 +20,7 @@
     EXPECT_TRUE(fixture.find<Fail>(1));
 }
 
-TEST(RetryPolicy, WriteProvenNotToHaveRunIsRetried) {
+TEST(RetryPolicy, RetriesAWriteThatCannotHaveRun) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(2);
     fixture.arrive(1, kWrite);
@@ -32,7 +33,7 @@
     EXPECT_EQ(fixture.forwarded_to(1), 3u);
 }
 
-TEST(RetryPolicy, KeyedWriteIsNotRetriedAfterItsWindow) {
+TEST(RetryPolicy, FailsAKeyedWriteAfterItsIdempotencyWindow) {
     RouterFixture fixture(default_settings(Idempotency::keyed));
     fixture.establish_primary(2);
     fixture.arrive(1, kWrite);
@@ -44,7 +45,7 @@
     EXPECT_TRUE(fixture.find<Fail>(1));
 }
 
-TEST(RetryPolicy, ASecondErrorRejectsWithTheLongestRetryAfter) {
+TEST(RetryPolicy, RejectsASecondErrorWithTheMaximumRetryAfter) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(1);
     fixture.arrive(1, kBoundedRead);
--- a/tests/decision/router_fixture.cpp
+++ b/tests/decision/router_fixture.cpp
@@ -105,8 +105,8 @@
     events.emplace_back(ended);
 }
 
-void RouterFixture::step(Micros later) {
-    now += later;
+void RouterFixture::step(Micros elapsed) {
+    now += elapsed;
     actions.clear();
     router.step(now, events, actions);
     events.clear();
@@ -114,9 +114,9 @@
         if (const auto* forward = std::get_if<Forward>(&action)) ++attempts_[forward->request];
 }
 
-void RouterFixture::fire_timer(Micros later) {
+void RouterFixture::fire_timer(Micros elapsed) {
     events.emplace_back(TimerFired{1});
-    step(later);
+    step(elapsed);
 }
 
 void RouterFixture::establish_primary(EndpointId primary, int endpoint_count) {
--- a/tests/decision/router_invariants_test.cpp
+++ b/tests/decision/router_invariants_test.cpp
@@ -1,4 +1,5 @@
-// Random events; after every step the rules that can be seen from outside are asserted.
+// Randomized test of the router: after every step with random events, the invariants that its actions must
+// satisfy are checked.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -18,7 +19,7 @@
 constexpr int kStepCount = 3000;
 constexpr int kEndpointCount = 4;
 constexpr EndpointId kPrimary = 1;
-// A router may need one timer to notice that a deadline has passed.
+// A router may notice only at its next timer that a deadline has passed.
 constexpr Micros kDeadlineTolerance = 8000;
 
 class RandomRun {
@@ -28,18 +29,18 @@
 
     void run() {
         for (int i = 0; i < kStepCount; ++i) {
-            const Micros later = static_cast<Micros>(1000 + draw(9000));
-            const Time then = fixture_.now + later;
+            const Micros elapsed = static_cast<Micros>(1000 + draw(9000));
+            const Time step_time = fixture_.now + elapsed;
             maybe_arrive();
-            maybe_change_list(then);
-            maybe_end_attempts(then);
-            fixture_.fire_timer(later);
+            maybe_change_list(step_time);
+            maybe_end_attempts(step_time);
+            fixture_.fire_timer(elapsed);
             for (const auto& action : fixture_.actions) {
                 check(action);
                 if (::testing::Test::HasFatalFailure()) return;
             }
             for (const auto& [id, request] : requests_)
-                ASSERT_TRUE(request.done || fixture_.now <= request.deadline + kDeadlineTolerance) << id;
+                ASSERT_TRUE(request.has_ended || fixture_.now <= request.deadline + kDeadlineTolerance) << id;
         }
         EXPECT_GT(next_request_, 1000u);
     }
@@ -51,7 +52,7 @@
         std::set<int> attempts_in_flight;
         std::vector<EndpointId> attempts;
         bool may_have_run = false;
-        bool done = false;
+        bool has_ended = false;
     };
 
     std::uint64_t draw(std::uint64_t bound) { return random_() % bound; }
@@ -71,24 +72,24 @@
         ++next_request_;
     }
 
-    void maybe_change_list(Time then) {
+    void maybe_change_list(Time step_time) {
         if (draw(200) != 0) return;
         const auto endpoint = static_cast<EndpointId>(1 + draw(kEndpointCount));
         const bool draining = draw(2) != 0;
         const auto state = draining ? EndpointState::draining : EndpointState::ready;
         fixture_.endpoint_list(EndpointListKind::changes, {make_entry(endpoint, state)});
         if (draining)
-            draining_since_.emplace(endpoint, then);
+            draining_since_.emplace(endpoint, step_time);
         else
             draining_since_.erase(endpoint);
     }
 
-    void maybe_end_attempts(Time then) {
+    void maybe_end_attempts(Time step_time) {
         for (auto& [id, request] : requests_) {
-            if (request.done || request.attempts_in_flight.empty()) continue;
-            const bool late = then >= request.deadline;
+            if (request.has_ended || request.attempts_in_flight.empty()) continue;
+            const bool late = step_time >= request.deadline;
             if (!late && draw(4) != 0) continue;
-            end_attempt(id, request, late ? Outcome::timeout : draw_outcome(), then);
+            end_attempt(id, request, late ? Outcome::timeout : draw_outcome(), step_time);
         }
     }
 
@@ -99,7 +100,7 @@
         return kOutcomes[draw(std::size(kOutcomes))];
     }
 
-    void end_attempt(RequestId id, Request& request, Outcome outcome, Time then) {
+    void end_attempt(RequestId id, Request& request, Outcome outcome, Time step_time) {
         const int attempt = *request.attempts_in_flight.begin();
         AttemptEnded ended;
         ended.request = id;
@@ -109,10 +110,10 @@
         ended.latency_us = 10'000;
         ended.request_ended = outcome == Outcome::ok;
         ended.status.role = ended.endpoint == kPrimary ? Role::primary : Role::replica;
-        ended.status.position = then - 5000;
+        ended.status.position = step_time - 5000;
         fixture_.events.emplace_back(ended);
         request.attempts_in_flight.erase(attempt);
-        request.done = outcome == Outcome::ok;
+        request.has_ended = outcome == Outcome::ok;
         if (outcome == Outcome::error || outcome == Outcome::reset || outcome == Outcome::timeout)
             request.may_have_run = true;
     }
@@ -128,7 +129,7 @@
 
     void check_forward(const Forward& forward) {
         auto& request = requests_.at(forward.request);
-        ASSERT_FALSE(request.done);
+        ASSERT_FALSE(request.has_ended);
         ASSERT_LT(fixture_.now, request.deadline);
         if (idempotency_of(request) == Idempotency::none) {
             ASSERT_FALSE(request.may_have_run || !request.attempts_in_flight.empty());
@@ -137,7 +138,7 @@
             ASSERT_TRUE(request.attempts_in_flight.empty());
         }
         ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
-        // Events that precede the list in the same step are decided by the older list.
+        // Events before the list in the same step are processed with the older list.
         if (const auto draining = draining_since_.find(forward.endpoint); draining != draining_since_.end()) {
             ASSERT_EQ(fixture_.now, draining->second);
         }
@@ -147,24 +148,24 @@
 
     void check_rejection(const Reject& rejection) {
         auto& request = requests_.at(rejection.request);
-        ASSERT_FALSE(request.done);
+        ASSERT_FALSE(request.has_ended);
         if (idempotency_of(request) != Idempotency::idempotent) {
             ASSERT_FALSE(request.may_have_run || !request.attempts_in_flight.empty());
         }
-        request.done = true;
+        request.has_ended = true;
     }
 
     void check_failure(const Fail& failure) {
         auto& request = requests_.at(failure.request);
-        ASSERT_FALSE(request.done);
-        request.done = true;
+        ASSERT_FALSE(request.has_ended);
+        request.has_ended = true;
     }
 
     const Settings settings_;
     std::mt19937_64 random_;
     RouterFixture fixture_;
     std::map<RequestId, Request> requests_;
-    std::map<EndpointId, Time> draining_since_;  // the step that first reported it
+    std::map<EndpointId, Time> draining_since_;  // time of the step that first reported it
     RequestId next_request_ = 1;
 };
 
--- a/tests/decision/router_rejection_reason_test.cpp
+++ b/tests/decision/router_rejection_reason_test.cpp
@@ -1,4 +1,4 @@
-// The reasons of rejections, which operators add up over the fleet.
+// Tests of the rejection reasons, which operators sum over the fleet.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -8,7 +8,7 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(RejectionReason, IsToldForEachWayToGiveUp) {
+TEST(RejectionReason, IsReportedForEachWayOfGivingUp) {
     const auto reason_of = [](RouterFixture& fixture, RequestId id) {
         if (const auto* rejection = fixture.find<Reject>(id)) return std::optional(rejection->reason);
         if (const auto* failure = fixture.find<Fail>(id)) return std::optional(failure->reason);
@@ -16,7 +16,7 @@
     };
     const auto reason_after_waiting = [&](RouterFixture& fixture, RequestId id) {
         for (int i = 0; i < 300; ++i) {
-            if (const auto found = reason_of(fixture, id)) return found;
+            if (const auto reason = reason_of(fixture, id)) return reason;
             fixture.fire_timer();
         }
         return std::optional<RejectionReason>();
@@ -33,7 +33,7 @@
         fixture.step();
         EXPECT_EQ(reason_after_waiting(fixture, 3), RejectionReason::no_primary);
     }
-    {  // A replica with room that is too old, and a primary that has none left for reads.
+    {  // The replica has capacity but is too stale, and the primary has no capacity left for reads.
         auto settings = default_settings();
         settings.position_check = PositionCheck::reject;
         RouterFixture fixture(settings, 2);
--- a/tests/decision/router_test.cpp
+++ b/tests/decision/router_test.cpp
@@ -1,4 +1,4 @@
-// The router as a whole: input it must cope with, determinism, started answers.
+// Tests of the whole router: invalid and unusual input, determinism and started responses.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -10,15 +10,16 @@
 namespace sloestack::decision::test {
 namespace {
 
-TEST(Router, RejectsSettingsThatCannotRun) {
+TEST(Router, ThrowsOnInvalidSettings) {
     EXPECT_THROW(Router(Settings{}, 1), std::invalid_argument);
     auto settings = default_settings();
     settings.classes[kBoundedRead].staleness_bound_us = 0;
     EXPECT_THROW(Router(settings, 1), std::invalid_argument);
 }
 
-// An empty list, unknown replica groups, duplicate entries, a start in the past, a deadline already exceeded.
-TEST(Router, OddListsAndLateRequestsAreAnswered) {
+// Covers an empty list, an unknown replica group, duplicate entries, an endpoint started long ago, and a
+// deadline that has already passed.
+TEST(Router, EndsEveryRequestDespiteUnusualListsAndDeadlines) {
     RouterFixture fixture(default_settings());
     fixture.endpoint_list(EndpointListKind::complete, {});
     auto entry = make_entry(5);
@@ -31,15 +32,15 @@
     std::get<Arrival>(fixture.events.back()).replica_group = 1234;
     fixture.step(1000);
     EXPECT_TRUE(fixture.find<Reject>(1));
-    bool answered = false;
+    bool has_ended = false;
     for (int i = 0; i < 200; ++i) {
         fixture.fire_timer();
-        answered = answered || fixture.find<Reject>(2);
+        has_ended = has_ended || fixture.find<Reject>(2);
     }
-    EXPECT_TRUE(answered);
+    EXPECT_TRUE(has_ended);
 }
 
-TEST(Router, SameEventsGiveSameActions) {
+TEST(Router, ProducesTheSameActionsForTheSameEvents) {
     const auto run = [] {
         RouterFixture fixture(default_settings(), 5, 42);
         fixture.establish_primary(2, 5);
@@ -57,9 +58,9 @@
     EXPECT_EQ(run(), run());
 }
 
-// Once its answer has started a request is not given up at its deadline, and its endpoint does not count as
-// silent.
-TEST(Router, AStartedAnswerIsNeverGivenUp) {
+// Guards against giving up a request, or ejecting its endpoint as silent, while its response is streamed past
+// the deadline.
+TEST(Router, DoesNotGiveUpARequestWhoseResponseHasStarted) {
     RouterFixture fixture(default_settings());
     fixture.establish_primary(1);
     fixture.arrive(1, kAnyRead);
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// The slow-start budget of one endpoint, summed over fleets of 3 to 300 routers.
+// Tests of SlowStart with fleets of 3 to 300 routers: the work that all of them forward to one endpoint.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr int kStepsBeforeRestart = 250;
 constexpr int kStepsAfterRestart = 400;
 
-// Many routers in front of one replica group whose primary restarts.
+// Simulates the routers of one replica group whose primary restarts.
 class Fleet {
 public:
     explicit Fleet(int router_count)
@@ -34,7 +34,7 @@
         start_routers(0);
     }
 
-    // Starts every router anew: it knows nothing of what an endpoint carries.
+    // Replaces every router by a new one, which has not learned the capacity of the endpoints.
     void start_routers(std::uint64_t round) {
         for (std::size_t i = 0; i < routers_.size(); ++i) {
             auto& router = routers_[i];
@@ -45,7 +45,7 @@
         }
     }
 
-    // How many requests all routers forwarded to the primary in this step.
+    // Performs a step of all routers and returns how many requests they forwarded to the primary.
     int step(bool primary_restarts) {
         int forwarded = 0;
         for (auto& router : routers_) {
@@ -58,7 +58,7 @@
     const Settings& settings() const { return settings_; }
 
 private:
-    // The primary: half of all requests can go nowhere else.
+    // Half of all requests are writes, which only the primary can take.
     static void report_restart(RouterFixture& router) {
         auto entry = make_entry(kPrimary);
         entry.started_at = router.now;
@@ -66,15 +66,15 @@
     }
 
     int step(RouterFixture& router) {
-        std::vector<RequestId> arrived;
+        std::vector<RequestId> requests;
         for (int count = arrivals_(random_); count > 0; --count) {
             ++last_request_;
-            arrived.push_back(last_request_);
+            requests.push_back(last_request_);
             router.arrive(last_request_, last_request_ % 2 == 0 ? kWrite : kAnyRead);
         }
         router.fire_timer(kStep);
         int forwarded = 0;
-        for (const auto request : arrived) {
+        for (const auto request : requests) {
             const auto endpoint = router.forwarded_to(request);
             if (!endpoint) continue;
             const bool to_primary = *endpoint == kPrimary;
@@ -91,8 +91,9 @@
     RequestId last_request_ = 0;
 };
 
-// What the endpoint may be sent in a window whose middle lies `since_start` after its start: the overload
-// multiple of its capacity, and two standard deviations and two requests more for chance.
+// Returns how many requests may be forwarded in a window whose middle is `since_start` after the endpoint's
+// start: the overload multiple of its capacity, plus two standard deviations and two requests for random
+// variation.
 double allowed_in_window(const Settings& settings, Micros since_start) {
     const double minimum = settings.slow_start_min_capacity_ratio;
     const double progress = to_double(since_start) / to_double(settings.slow_start_duration_us);
@@ -103,7 +104,7 @@
     return budget + 2 * std::sqrt(budget) + 2;
 }
 
-TEST(SlowStart, TheSumOverAnyFleetKeepsToTheBudget) {
+TEST(SlowStart, KeepsTheWorkOfAnyFleetWithinTheBudget) {
     for (const int router_count : {3, 20, 30, 300})
         for (const bool routers_restart : {false, true}) {
             Fleet fleet(router_count);
@@ -122,7 +123,7 @@
             }
             EXPECT_LE(largest_excess, 0)
                 << router_count << " routers, " << (routers_restart ? "restarted" : "running");
-            EXPECT_GT(sum, 0) << "the budget is used";
+            EXPECT_GT(sum, 0) << "part of the budget is used";
         }
 }
 
