--- a/tests/decision/primary_tracker_test.cpp
+++ b/tests/decision/primary_tracker_test.cpp
@@ -79,9 +79,9 @@
         return count;
     };
     EXPECT_EQ(health_checks_by(3), 15);
-    const int of_large_fleet = health_checks_by(100);
-    EXPECT_GT(of_large_fleet, 10);
-    EXPECT_LT(of_large_fleet, 50);
+    const int large_fleet_checks = health_checks_by(100);
+    EXPECT_GT(large_fleet_checks, 10);
+    EXPECT_LT(large_fleet_checks, 50);
 }
 
 // In larger fleets only routers with queued requests search for a primary by health checks; most have none.
