--- a/fault_harness/conductor.cpp
+++ b/fault_harness/conductor.cpp
@@ -88,7 +88,7 @@
         Micros at_most = kLongestTurn;
         if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
         loop_.run_once(at_most);
-        deadlines_.sweep();
+        deadlines_.run_due();
         loop_.end_iteration();
         if (!failure_.empty()) throw std::runtime_error(failure_);
     }
--- a/fault_harness/part.cpp
+++ b/fault_harness/part.cpp
@@ -54,7 +54,7 @@
             if (next) at_most = std::min(at_most, *next - deadlines_.now());
             loop_.run_once(at_most);
             if (next) late_ = std::max(late_, deadlines_.now() - *next);
-            deadlines_.sweep();
+            deadlines_.run_due();
             tell_busy();
             loop_.end_iteration();
             turned();
--- a/src/app/ctl/emulated_fleet.cpp
+++ b/src/app/ctl/emulated_fleet.cpp
@@ -113,7 +113,7 @@
     Micros at_most = kLongestTurn;
     if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
     loop_.run_once(at_most);
-    deadlines_.sweep();
+    deadlines_.run_due();
     loop_.end_iteration();
 }
 
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -367,7 +367,7 @@
         if (run.over()) break;
         const auto next = deadlines.next();
         loop.run_once(next ? std::optional<Micros>(*next - deadlines.now()) : std::nullopt);
-        deadlines.sweep();
+        deadlines.run_due();
         loop.end_iteration();
     }
     output.close();
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -38,7 +38,7 @@
         return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->is_accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
-    std::uint16_t control_port() const {
+    std::uint16_t admin_port() const {
         return admin_server_->port();
     }  // only where the configuration names one
 
--- a/src/base/deadlines/deadlines.cpp
+++ b/src/base/deadlines/deadlines.cpp
@@ -28,7 +28,7 @@
     return entries_.begin()->first.first;
 }
 
-void Deadlines::sweep() {
+void Deadlines::run_due() {
     const Time now = clock_.now();
     const auto first_new = next_sequence_;
     while (!entries_.empty()) {
--- a/src/base/deadlines/deadlines.h
+++ b/src/base/deadlines/deadlines.h
@@ -50,7 +50,7 @@
     std::optional<Time> next() const;
     // Runs what is due, earliest first, equal ones in the order they were set. What a callback sets for a
     // time already past waits for the next sweep.
-    void sweep();
+    void run_due();
     std::size_t size() const { return entries_.size(); }
 
 private:
--- a/src/core/dispatch_loop/dispatch_loop.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -11,7 +11,7 @@
 void DispatchLoop::set_targets(ActionTargets targets) { targets_.emplace(std::move(targets)); }
 
 void DispatchLoop::run_iteration() {
-    deadlines_.sweep();
+    deadlines_.run_due();
     while (!queued_events_.empty()) step();
 }
 
--- a/tests/base/deadlines_test.cpp
+++ b/tests/base/deadlines_test.cpp
@@ -23,9 +23,9 @@
         all.add(past, [&] { order += "c"; });  // due already, but for the next sweep
     });
     all.add(clock.now() + 3'600'000'000, [&] { order += "never"; });
-    all.sweep();
+    all.run_due();
     ASSERT_TRUE(order == "ab");
-    all.sweep();
+    all.run_due();
     ASSERT_TRUE(order == "abc" && all.size() == 1);
 }
 
--- a/tests/fleet/discovery_watch_test.cpp
+++ b/tests/fleet/discovery_watch_test.cpp
@@ -74,7 +74,7 @@
             const auto next = deadlines_.next();
             if (!next) return {};
             clock.time = std::max(clock.time, *next);
-            deadlines_.sweep();
+            deadlines_.run_due();
         }
         return {};
     }
--- a/tests/integration/scenario_proxy.h
+++ b/tests/integration/scenario_proxy.h
@@ -29,8 +29,8 @@
     void reload(const std::string& file);
 
     std::uint16_t client_port() const { return newest().port(); }
-    std::uint16_t admin_port() const { return server_->control_port(); }
-    std::uint16_t newest_admin_port() const { return newest().control_port(); }
+    std::uint16_t admin_port() const { return server_->admin_port(); }
+    std::uint16_t newest_admin_port() const { return newest().admin_port(); }
     /// Listening sockets by actor: m1, m2 and so on, d and d2.
     const std::map<std::string, int>& listeners() const { return listeners_; }
     /// The entry of a member in endpoint lists, in service.
