--- a/tests/decision/endpoint_subset_test.cpp
+++ b/tests/decision/endpoint_subset_test.cpp
@@ -111,7 +111,7 @@
             EXPECT_TRUE(to.has_value()) << id;
             if (!to) continue;
             used.insert(*to);
-            fixture.answered(id, *to, Role::replica, 0);
+            fixture.attempt_succeeded(id, *to, Role::replica, 0);
         }
         fixture.step();
         return used;
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -20,8 +20,8 @@
     for (int i = 0; i < 200; ++i) {
         for (const auto& [request, endpoint] : in_flight)
             if (endpoint != 3)
-                fixture.answered(request, endpoint, endpoint == 1 ? Role::primary : Role::replica,
-                                 fixture.now - 1000);
+                fixture.attempt_succeeded(request, endpoint, endpoint == 1 ? Role::primary : Role::replica,
+                                          fixture.now - 1000);
         in_flight.clear();
         fixture.arrive(id, kBoundedRead);
         fixture.fire_timer(5'000);
@@ -51,11 +51,12 @@
                 fixture.attempt_ended(id, 2, Outcome::reset, Role::unknown, 0);
                 fixture.step();
                 if (const auto retry_endpoint = fixture.forwarded_to(id))
-                    fixture.answered(id, *retry_endpoint,
-                                     *retry_endpoint == 1 ? Role::primary : Role::replica,
-                                     fixture.now - 1000);
+                    fixture.attempt_succeeded(id, *retry_endpoint,
+                                              *retry_endpoint == 1 ? Role::primary : Role::replica,
+                                              fixture.now - 1000);
             } else {
-                fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1000);
+                fixture.attempt_succeeded(id, *to, *to == 1 ? Role::primary : Role::replica,
+                                          fixture.now - 1000);
             }
         }
         if (dead) {
@@ -132,7 +133,7 @@
         if (*to == 2)
             fixture.attempt_ended(id, 2, Outcome::connect_failed, Role::unknown, 0, true);
         else
-            fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now);
+            fixture.attempt_succeeded(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now);
         fixture.step();
     }
     EXPECT_EQ(fixture.router.ejected_endpoint_count(), 1u);
--- a/tests/decision/primary_tracker_test.cpp
+++ b/tests/decision/primary_tracker_test.cpp
@@ -90,7 +90,7 @@
     fixture.establish_primary(1);
     fixture.arrive(1, kAnyRead);
     fixture.step();
-    fixture.answered(1, fixture.forwarded_to(1).value_or(1), Role::unknown, 0);
+    fixture.attempt_succeeded(1, fixture.forwarded_to(1).value_or(1), Role::unknown, 0);
     fixture.endpoint_list(EndpointListKind::changes, {make_entry(1, EndpointState::removed)});
     fixture.step();
     int health_checks = 0;
--- a/tests/decision/read_admission_test.cpp
+++ b/tests/decision/read_admission_test.cpp
@@ -22,7 +22,7 @@
         for (RequestId id = 1; id <= 800; ++id) {
             for (auto it = in_flight.begin(); it != in_flight.end();) {
                 const bool due = it->second.first + latency <= fixture.now;
-                if (due) fixture.answered(it->first, it->second.second, Role::unknown, 0);
+                if (due) fixture.attempt_succeeded(it->first, it->second.second, Role::unknown, 0);
                 it = due ? in_flight.erase(it) : std::next(it);
             }
             fixture.arrive(id, kAnyRead);
@@ -48,7 +48,7 @@
                 fixture.step();
                 const auto to = fixture.forwarded_to(id);
                 fixture.now += 250'000;
-                if (to) fixture.answered(id, *to, Role::replica, fixture.now);
+                if (to) fixture.attempt_succeeded(id, *to, Role::replica, fixture.now);
                 fixture.step();
             }
             fixture.arrive(1000, kAnyRead);
--- a/tests/decision/read_consistency_test.cpp
+++ b/tests/decision/read_consistency_test.cpp
@@ -17,7 +17,7 @@
         fixture.arrive(id, kSessionRead, 7);
         fixture.step(1000);
         ASSERT_EQ(fixture.forwarded_to(id), 2u);
-        fixture.answered(id, 2, Role::primary, fixture.now);
+        fixture.attempt_succeeded(id, 2, Role::primary, fixture.now);
         fixture.step();
     }
     fixture.now += 20'000;
@@ -29,7 +29,7 @@
         const auto to = fixture.forwarded_to(id);
         ASSERT_TRUE(to);
         used.insert(*to);
-        fixture.answered(id, *to, *to == 2 ? Role::primary : Role::replica, fixture.now - 10'000);
+        fixture.attempt_succeeded(id, *to, *to == 2 ? Role::primary : Role::replica, fixture.now - 10'000);
         fixture.step(1000);
     }
     EXPECT_GT(used.size(), 1u);
@@ -61,7 +61,7 @@
     fixture.establish_primary(1);
     fixture.arrive(1, kWrite, 7);
     fixture.step(1000);
-    fixture.answered(1, 1, Role::primary, fixture.now);
+    fixture.attempt_succeeded(1, 1, Role::primary, fixture.now);
     fixture.step(20'000);
     for (RequestId id = 2; id < 6; ++id) {
         fixture.arrive(id, kSessionRead, 7);
@@ -80,7 +80,7 @@
     fixture.arrive(1, kWrite, 7);
     fixture.step(1000);
     const Time commit = fixture.now;
-    fixture.answered(1, 1, Role::primary, commit);
+    fixture.attempt_succeeded(1, 1, Role::primary, commit);
     fixture.step(1000);
     fixture.establish_primary(1, 2);
     for (int i = 0; i < 500; ++i) {  // all endpoints pass the token, which is then erased
@@ -94,7 +94,7 @@
         fixture.step(1000);
         EXPECT_NE(fixture.forwarded_to(id), 3u);
         if (const auto to = fixture.forwarded_to(id))
-            fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1);
+            fixture.attempt_succeeded(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1);
     }
 }
 
--- a/tests/decision/router_fixture.cpp
+++ b/tests/decision/router_fixture.cpp
@@ -94,7 +94,7 @@
     events.emplace_back(ended);
 }
 
-void RouterFixture::answered(RequestId request, EndpointId endpoint, Role role, Time position) {
+void RouterFixture::attempt_succeeded(RequestId request, EndpointId endpoint, Role role, Time position) {
     attempt_ended(request, endpoint, Outcome::ok, role, position, true);
 }
 
--- a/tests/decision/router_fixture.h
+++ b/tests/decision/router_fixture.h
@@ -47,7 +47,7 @@
     void attempt_ended(RequestId request, EndpointId endpoint, Outcome outcome, Role role, Time position,
                        bool request_ended = false, bool on_reused_connection = false);
     // Queues a successful end of the latest attempt, whose response ends the request.
-    void answered(RequestId request, EndpointId endpoint, Role role, Time position);
+    void attempt_succeeded(RequestId request, EndpointId endpoint, Role role, Time position);
     void health_check_ended(EndpointId endpoint, Role role, Time position);
 
     // ---- steps ----
--- a/tests/decision/router_test.cpp
+++ b/tests/decision/router_test.cpp
@@ -50,8 +50,8 @@
             fixture.fire_timer();
             to.push_back(fixture.forwarded_to(id).value_or(0));
             if (to.back())
-                fixture.answered(id, to.back(), to.back() == 2 ? Role::primary : Role::replica,
-                                 fixture.now - 2000);
+                fixture.attempt_succeeded(id, to.back(), to.back() == 2 ? Role::primary : Role::replica,
+                                          fixture.now - 2000);
         }
         return to;
     };
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -79,7 +79,8 @@
             if (!endpoint) continue;
             const bool to_primary = *endpoint == kPrimary;
             forwarded += to_primary;
-            router.answered(request, *endpoint, to_primary ? Role::primary : Role::replica, router.now);
+            router.attempt_succeeded(request, *endpoint, to_primary ? Role::primary : Role::replica,
+                                     router.now);
         }
         return forwarded;
     }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -51,7 +51,7 @@
             const auto to = is_sending ? fixture.forwarded_to(id) : std::nullopt;
             if (!to) continue;
             if (i >= 400 && i < 600) ++forwarded[*to];
-            fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now);
+            fixture.attempt_succeeded(id, *to, *to == 1 ? Role::primary : Role::replica, fixture.now);
         }
     }
     // In its first 2 s the endpoint's capacity is 0.2 to 0.36 of the others'; the overload multiple is 2.
@@ -79,7 +79,8 @@
         for (RequestId sent = 1; sent <= id; ++sent)
             if (const auto to = fixture.forwarded_to(sent)) {
                 served += id > 300;
-                fixture.answered(sent, *to, *to == 1 ? Role::primary : Role::replica, fixture.now - 1000);
+                fixture.attempt_succeeded(sent, *to, *to == 1 ? Role::primary : Role::replica,
+                                          fixture.now - 1000);
             }
     }
     EXPECT_GT(served, 60);  // a fifth of the 300 requests
@@ -102,8 +103,8 @@
         const auto to = fixture.forwarded_to(id);
         if (!to) return;
         (request_class == kAnyRead ? reads : writes) += *to == 1;
-        fixture.answered(id, *to, *to == 1 ? Role::primary : Role::replica,
-                         fixture.now - (*to == 1 ? 0 : 1000));
+        fixture.attempt_succeeded(id, *to, *to == 1 ? Role::primary : Role::replica,
+                                  fixture.now - (*to == 1 ? 0 : 1000));
         fixture.step();
     };
     for (RequestId id = 1; id <= 200; ++id) send_request(id, kAnyRead);
--- a/tests/decision/write_throttle_test.cpp
+++ b/tests/decision/write_throttle_test.cpp
@@ -31,7 +31,7 @@
         fixture.arrive(id, kWrite);
         fixture.fire_timer(10'000);
         if (i >= 100) rejected += fixture.find<Reject>(id) != nullptr;
-        if (fixture.forwarded_to(id)) fixture.answered(id, 1, Role::primary, fixture.now);
+        if (fixture.forwarded_to(id)) fixture.attempt_succeeded(id, 1, Role::primary, fixture.now);
         ++id;
     }
     return rejected;
@@ -70,9 +70,9 @@
         fixture.fire_timer(10'000);
         for (RequestId read = 1; read <= 6; ++read)
             if (read % 2 && fixture.forwarded_to(10'000 * read + id))
-                fixture.answered(10'000 * read + id, 1, Role::unknown, 0);
+                fixture.attempt_succeeded(10'000 * read + id, 1, Role::unknown, 0);
         if (id > 700) rejected += fixture.find<Reject>(id) != nullptr;
-        if (fixture.forwarded_to(id)) fixture.answered(id, 1, Role::unknown, 0);
+        if (fixture.forwarded_to(id)) fixture.attempt_succeeded(id, 1, Role::unknown, 0);
     }
     EXPECT_GT(rejected, 400);
 }
@@ -100,8 +100,9 @@
         fixture.fire_timer(10'000);
         rejected_in_lagging_group += fixture.find<Reject>(id) != nullptr;
         rejected_in_other_group += fixture.find<Reject>(90'000 + id) != nullptr;
-        if (fixture.forwarded_to(id)) fixture.answered(id, 1, Role::primary, fixture.now);
-        if (fixture.forwarded_to(90'000 + id)) fixture.answered(90'000 + id, 11, Role::primary, fixture.now);
+        if (fixture.forwarded_to(id)) fixture.attempt_succeeded(id, 1, Role::primary, fixture.now);
+        if (fixture.forwarded_to(90'000 + id))
+            fixture.attempt_succeeded(90'000 + id, 11, Role::primary, fixture.now);
     }
     EXPECT_GT(rejected_in_lagging_group, 100);
     EXPECT_EQ(rejected_in_other_group, 0);
--- a/tests/decision/zone_health_test.cpp
+++ b/tests/decision/zone_health_test.cpp
@@ -171,7 +171,7 @@
         in_flight.clear();
         for (const auto& [request, endpoint] : forwarded)
             if (endpoint % 2 == 0)
-                fixture.answered(request, endpoint, Role::replica, fixture.now);
+                fixture.attempt_succeeded(request, endpoint, Role::replica, fixture.now);
             else
                 in_flight[request] = endpoint;
     };
