--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -40,7 +40,7 @@
 
 // Settings of one request class. `validate` requires a latency objective and a deadline.
 struct RequestClassSettings {
-    bool is_write = false;  // forwarded to the primary only; `consistency` must be linearizable then
+    bool is_write = false;  // forwarded to the primary only; `consistency` is linearizable then
     Consistency consistency = Consistency::any;
     Idempotency idempotency = Idempotency::idempotent;
     IdempotencyScope idempotency_scope = IdempotencyScope::replica_group;  // used if keyed
@@ -63,7 +63,7 @@
     int zone = 0;  // of this router; endpoints of the same zone are preferred
 
     // ---- discovery ----
-    bool discovery_is_polled = false;       // the router starts with a PollDiscovery action
+    bool discovery_is_polled = false;       // the router emits a first PollDiscovery after its start
     bool discovery_agent_is_local = false;  // polls go to an agent that no other router polls: short backoff
     ListedRole listed_role = ListedRole::none;
     // A removed endpoint may still get requests; only `draining` excludes it.
