--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -19,7 +19,7 @@
 namespace pgwire = sloestack::pgwire;
 using sloestack::conversation::digest_of;
 
-constexpr std::size_t kMostUnread = pgwire::kLargestStatement + 1024;
+constexpr std::size_t kMostUnread = pgwire::kMaxStatementBytes + 1024;
 constexpr Micros kLookForRoles = 50'000;
 constexpr Micros kExcused = 6'000'000;  // a deposed primary: until what discovery has to tell counts as told
 constexpr Micros kLeastCopied = 2'100'000,
@@ -111,7 +111,7 @@
                     started_ = true;
                     of_.greet(at_, *this);
                 } else if (m->type == 'Q') {
-                    of_.asked(at_, *this, std::string(pgwire::Fields(m->body).text()), began);
+                    of_.asked(at_, *this, std::string(pgwire::FieldReader(m->body).text()), began);
                 } else {
                     return gone();
                 }
@@ -119,7 +119,7 @@
                 line_->consume(size);
                 if (line_->held() == 0) first_byte_ = 0;
             }
-        } catch (const pgwire::BadMessage&) {
+        } catch (const pgwire::ProtocolError&) {
             gone();
         }
     }
@@ -453,9 +453,9 @@
     const bool primary = banks_[static_cast<std::size_t>(m.bank)]->primary(deadlines_.now()) == m.index;
     // Down to the millisecond: what an answer tells must never be more than is true.
     pgwire::Builder(out)
-        .parameter("role", primary ? "primary" : "replica")
-        .parameter("applied_ms", std::to_string(position / 1000))
-        .parameter("load", report(m));
+        .parameter_status("role", primary ? "primary" : "replica")
+        .parameter_status("applied_ms", std::to_string(position / 1000))
+        .parameter_status("load", report(m));
     return out;
 }
 
@@ -465,14 +465,14 @@
     e.word = code;
     witness_.saw(e);
     auto out = parameters(m, banks_[static_cast<std::size_t>(m.bank)]->position(m.index, deadlines_.now()));
-    pgwire::Builder(out).error("ERROR", code, why).ready();
+    pgwire::Builder(out).error_response("ERROR", code, why).ready_for_query();
     peer.write(out);
 }
 
 // A new connection costs the member work before it can be used.
 void Fleet::greet(Member& m, Peer& peer) {
     std::string out;
-    pgwire::Builder(out).greeting();
+    pgwire::Builder(out).startup_response();
     if (settings_.connect_work == 0) return peer.write(out);
     if (m.queue.size() >= settings_.queue) return peer.gone();
     auto job = std::make_unique<Job>();
@@ -495,8 +495,8 @@
         pgwire::Builder(out)
             .row_description("load", 25, false)
             .data_row(statement == "SELECT 1" ? "1" : report(m))
-            .complete("SHOW")
-            .ready();
+            .command_complete("SHOW")
+            .ready_for_query();
         return peer.write(out);
     }
     try {
@@ -504,9 +504,9 @@
         job->id = tags.id;
         job->key = tags.key;
         job->request_class = class_named(tags.request_class);
-        job->not_after = now + tags.left_ms * 1000;
+        job->not_after = now + tags.time_left_ms * 1000;
         job->after = tags.after_ms.value_or(0) * 1000;
-    } catch (const pgwire::BadMessage& error) {
+    } catch (const pgwire::ProtocolError& error) {
         return turn_away(m, peer, job->id, pgwire::code::kProtocolViolation, error.what());
     }
     if (job->request_class < 0)
@@ -570,7 +570,9 @@
         m.queue.pop_front();
         if (now > job->not_after) {
             std::string out = parameters(m, bank.position(m.index, now));
-            pgwire::Builder(out).error("ERROR", pgwire::code::kTooManyConnections, "over already").ready();
+            pgwire::Builder(out)
+                .error_response("ERROR", pgwire::code::kTooManyConnections, "over already")
+                .ready_for_query();
             if (job->peer) job->peer->write(out);
             continue;
         }
@@ -614,7 +616,9 @@
         if (bank.primary(now) != m.index) {
             // It was deposed while the write was at work: nothing was committed.
             auto out = parameters(m, bank.position(m.index, now));
-            pgwire::Builder(out).error("ERROR", pgwire::code::kReadOnly, "no primary any more").ready();
+            pgwire::Builder(out)
+                .error_response("ERROR", pgwire::code::kReadOnly, "no primary any more")
+                .ready_for_query();
             if (job.peer) job.peer->write(out);
             return;
         }
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -74,7 +74,7 @@
     void connected() override {
         up_ = true;
         std::string out;
-        pgwire::Builder(out).startup("portal", "crm");
+        pgwire::Builder(out).startup_message("portal", "crm");
         dialect_->read(conversation::Side::client, out, of_.deadlines_.now());
         line_->write(out);
     }
--- a/emulator/make.cpp
+++ b/emulator/make.cpp
@@ -172,7 +172,7 @@
     std::string (*answer)(std::string_view value, bool write) = nullptr;
 };
 
-std::string tds_message(tds::Type type, const std::string& payload) {
+std::string tds_message(tds::PacketType type, const std::string& payload) {
     std::string out;
     tds::PacketWriter(out).message(type, payload);
     return out;
@@ -182,8 +182,8 @@
     Form out;
     if (dialect == "postgres") {
         std::string up, greeting;
-        pgwire::Builder(up).startup("portal", "crm");
-        pgwire::Builder(greeting).greeting();
+        pgwire::Builder(up).startup_message("portal", "crm");
+        pgwire::Builder(greeting).startup_response();
         out.port = 5433;
         out.opening = {{Side::client, up}, {Side::server, greeting}};
         out.request = [](const Question& q) {
@@ -203,19 +203,19 @@
     login.database = "crm";
     std::string welcome;
     tds::TokenBuilder(welcome)
-        .changed({tds::Change::packet_size, "4096", "4096"})
-        .acknowledged({tds::kVersion74, "sloestack", 1})
+        .env_change({tds::EnvChange::packet_size, "4096", "4096"})
+        .login_ack({tds::kVersion74, "sloestack", 1})
         .done({});
     out.port = 1433;
-    out.opening = {{Side::client, tds_message(tds::Type::prelogin, tds::build_prelogin(prelogin))},
-                   {Side::server, tds_message(tds::Type::result, tds::build_prelogin(prelogin))},
-                   {Side::client, tds_message(tds::Type::login, tds::build_login(login))},
-                   {Side::server, tds_message(tds::Type::result, welcome)}};
+    out.opening = {{Side::client, tds_message(tds::PacketType::prelogin, tds::build_prelogin(prelogin))},
+                   {Side::server, tds_message(tds::PacketType::result, tds::build_prelogin(prelogin))},
+                   {Side::client, tds_message(tds::PacketType::login, tds::build_login(login))},
+                   {Side::server, tds_message(tds::PacketType::result, welcome)}};
     out.request = [](const Question& q) {
-        return tds_message(tds::Type::batch, tds::build_batch(tds_statement_of(q)));
+        return tds_message(tds::PacketType::batch, tds::build_batch(tds_statement_of(q)));
     };
     out.answer = [](std::string_view value, bool) {
-        return tds_message(tds::Type::result, tds_answer_of(value));
+        return tds_message(tds::PacketType::result, tds_answer_of(value));
     };
     return out;
 }
--- a/emulator/readiness.cpp
+++ b/emulator/readiness.cpp
@@ -27,7 +27,7 @@
 
 void Readiness::connected() {
     std::string out;
-    pgwire::Builder(out).startup("portal", "crm").query("");
+    pgwire::Builder(out).startup_message("portal", "crm").query("");
     line_->write(out);
 }
 
@@ -42,7 +42,7 @@
             if (m->type == 'E') return ended(net::Ending::broken);
             line_->consume(m->size);
         }
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
         ended(net::Ending::broken);
     }
 }
--- a/emulator/values.cpp
+++ b/emulator/values.cpp
@@ -111,8 +111,8 @@
     sloestack::pgwire::Builder(out)
         .row_description("data", kBytea, true)
         .data_row(value)
-        .complete(write ? "INSERT 0 1" : "SELECT 1")
-        .ready();
+        .command_complete(write ? "INSERT 0 1" : "SELECT 1")
+        .ready_for_query();
     return out;
 }
 
--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -76,8 +76,8 @@
 
 Corpus talks() {
     std::string up, greeting, query;
-    pgwire::Builder(up).startup("portal", "crm");
-    pgwire::Builder(greeting).greeting();
+    pgwire::Builder(up).startup_message("portal", "crm");
+    pgwire::Builder(greeting).startup_response();
     pgwire::Builder(query).query(
         "SELECT data FROM facts WHERE code = 'a' /* id=1,c=roster-view,d=600,cluster=0 */");
     const std::pair<int, std::string> parts[] = {
@@ -97,10 +97,10 @@
 }
 
 Corpus tds_sessions() {
-    const auto as = [](tds::Type type, const std::string& payload, std::size_t packet = 512) {
+    const auto as = [](tds::PacketType type, const std::string& payload, std::size_t packet = 512) {
         std::string out;
         tds::PacketWriter writer(out);
-        writer.allow(packet);
+        writer.set_packet_size(packet);
         writer.message(type, payload);
         return out;
     };
@@ -116,15 +116,17 @@
     data.type.size = tds::kMaxLength;
     data.type.max = true;
     tds::TokenBuilder build(answer);
-    build.acknowledged({tds::kVersion74, "s", 1}).changed({tds::Change::packet_size, "512", "4096"});
+    build.login_ack({tds::kVersion74, "s", 1}).env_change({tds::EnvChange::packet_size, "512", "4096"});
     build.columns({number, data}).row();
     tds::put_value(answer, number.type, std::string_view("1234"));
     tds::put_chunks(answer, std::string(3000, 'v'));
     build.row_with_nulls({true, true}).error({50001, 1, 16, "not now", "", "", 1}).done({});
-    return {as(tds::Type::prelogin, tds::build_prelogin({})) + as(tds::Type::login, tds::build_login(login)),
-            as(tds::Type::batch, tds::build_batch("SELECT 1 /* id=1 */")) + as(tds::Type::attention, ""),
-            as(tds::Type::rpc, tds::build_rpc({std::string(5000, 's'), 0, {}})),
-            as(tds::Type::result, answer)};
+    return {as(tds::PacketType::prelogin, tds::build_prelogin({})) +
+                as(tds::PacketType::login, tds::build_login(login)),
+            as(tds::PacketType::batch, tds::build_batch("SELECT 1 /* id=1 */")) +
+                as(tds::PacketType::attention, ""),
+            as(tds::PacketType::rpc, tds::build_rpc({std::string(5000, 's'), 0, {}})),
+            as(tds::PacketType::result, answer)};
 }
 
 std::string mutated(std::string bytes, emulator::Random& random) {
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -123,16 +123,16 @@
         next = 0;
     }
     void value(std::size_t c, std::optional<std::string_view>) override { must(!in_value && c == next++); }
-    void value_begins(std::size_t c, std::optional<std::uint64_t>) override {
+    void begin_value(std::size_t c, std::optional<std::uint64_t>) override {
         must(!in_value && c == next++);
         in_value = true;
     }
-    void piece(std::string_view b) override { must(in_value && !b.empty()); }
-    void value_ends() override {
+    void value_chunk(std::string_view b) override { must(in_value && !b.empty()); }
+    void end_value() override {
         must(in_value);
         in_value = false;
     }
-    void error(const tds::Notice&) override {}
+    void error(const tds::ErrorOrInfo&) override {}
     void done(const tds::Done&) override { must(!in_value); }
 };
 
@@ -141,27 +141,27 @@
 // Packets as they come; whole messages of a client are read by their type, a server's as they come.
 void tds_messages(const std::uint8_t* data, std::size_t size) {
     std::string_view left(reinterpret_cast<const char*>(data), size);
-    tds::Packets packets;
+    tds::PacketReader packets;
     Tokens tokens;
     tds::TokenReader reader(tokens);
     std::string message;
     try {
         while (const auto part = packets.next(left)) {
             left.remove_prefix(part->size);
-            if (part->type == tds::Type::result) {
-                reader.read(part->bytes);
-                must(reader.held() <= tds::kMostHeld);
+            if (part->type == tds::PacketType::result) {
+                reader.read(part->payload);
+                must(reader.buffered_bytes() <= tds::kMaxBufferedTokenBytes);
                 continue;
             }
-            message.append(part->bytes);
-            if (!part->last) continue;
-            if (part->type == tds::Type::prelogin) tds::read_prelogin(message);
-            if (part->type == tds::Type::login) tds::read_login(message);
-            if (part->type == tds::Type::batch) tds::read_batch(message);
-            if (part->type == tds::Type::rpc) tds::read_rpc(message);
+            message.append(part->payload);
+            if (!part->is_last) continue;
+            if (part->type == tds::PacketType::prelogin) tds::read_prelogin(message);
+            if (part->type == tds::PacketType::login) tds::read_login(message);
+            if (part->type == tds::PacketType::batch) tds::read_batch(message);
+            if (part->type == tds::PacketType::rpc) tds::read_rpc(message);
             message.clear();
         }
-    } catch (const tds::BadMessage&) {
+    } catch (const tds::ProtocolError&) {
     }
 }
 
--- a/src/admin/admin_server/admin_connection.cpp
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -61,7 +61,7 @@
         if (!request_.done()) return;
         state_ = State::awaiting_response;
         events_.on_request(id_, request_);
-    } catch (const http::BadRequest& error) {
+    } catch (const http::RequestError& error) {
         respond({400, error_json(error.what())});
         connection_->consume(connection_->held());
     }
--- a/src/admin/admin_server/admin_connection.h
+++ b/src/admin/admin_server/admin_connection.h
@@ -22,7 +22,7 @@
 // Callbacks of a connection, implemented by the owner of the connections.
 class AdminConnectionEvents {
 public:
-    // The request is whole. It may be responded to later. Throws http::BadRequest where it cannot be used.
+    // The request is whole. It may be responded to later. Throws http::RequestError where it cannot be used.
     virtual void on_request(ConnectionId id, const http::RequestParser& request) = 0;
     // Nothing more comes or goes: the owner destroys the connection when it is off the call stack.
     virtual void on_finished(ConnectionId id) = 0;
--- a/src/downstream/sessions/client_framer.cpp
+++ b/src/downstream/sessions/client_framer.cpp
@@ -9,14 +9,14 @@
 std::size_t max_size_of(char type) {
     switch (type) {
         case 'Q':
-            return pgwire::kLargestStatement;
+            return pgwire::kMaxStatementBytes;
         case 'P':
         case 'B':
         case 'D':
         case 'E':
         case 'C':
         case 'F':
-            return pgwire::kLargestMessage;
+            return pgwire::kMaxBufferedMessageBytes;
         case 'S':
         case 'H':
         case 'X':
@@ -38,7 +38,8 @@
 }
 
 std::optional<pgwire::Message> ClientFramer::next_message() {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    const auto size =
+        pgwire::next_message_size(connection_->unread(pgwire::kMessageHeaderBytes), max_size_of);
     if (!size || connection_->held() < *size) return std::nullopt;
     return pgwire::next_message(connection_->unread(), max_size_of);
 }
@@ -48,16 +49,18 @@
 }
 
 std::optional<std::string_view> ClientFramer::peek_query(std::size_t max_size) const {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    const auto size =
+        pgwire::next_message_size(connection_->unread(pgwire::kMessageHeaderBytes), max_size_of);
     if (!size || *size > max_size || connection_->held() < *size) return std::nullopt;
     const auto message = pgwire::next_message(connection_->unread(*size), max_size_of);
     if (!message || message->type != 'Q') return std::nullopt;
-    return pgwire::Fields(message->body).text();
+    return pgwire::FieldReader(message->body).text();
 }
 
 std::optional<std::size_t> ClientFramer::large_statement_size() const {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
-    if (!size || *size <= pgwire::kLargestMessage) return std::nullopt;
+    const auto size =
+        pgwire::next_message_size(connection_->unread(pgwire::kMessageHeaderBytes), max_size_of);
+    if (!size || *size <= pgwire::kMaxBufferedMessageBytes) return std::nullopt;
     return size;
 }
 
@@ -68,8 +71,8 @@
 }
 
 void ClientFramer::begin_large_statement(std::size_t size) {
-    connection_->consume(pgwire::kHead);
-    large_ = PartialStatement{{{}, std::move(reserved_)}, size - pgwire::kHead};
+    connection_->consume(pgwire::kMessageHeaderBytes);
+    large_ = PartialStatement{{{}, std::move(reserved_)}, size - pgwire::kMessageHeaderBytes};
     large_->statement.text.reserve(large_->missing_bytes);
 }
 
--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -1,6 +1,6 @@
 // Cuts a client's input into messages and dates each by the arrival of its last byte. Statements larger than
-// pgwire::kLargestMessage are gathered apart from the connection's buffer, under a budget shared by all
-// clients.
+// pgwire::kMaxBufferedMessageBytes are gathered apart from the connection's buffer, under a budget shared by
+// all clients.
 #pragma once
 
 #include <memory>
@@ -17,8 +17,8 @@
 
 // What a client may have sent and not had read: its start-up packet; one whole message or a part of a large
 // one; a little behind an open request.
-constexpr std::size_t kMaxUnreadStartupBytes = pgwire::kLargestStartup + 1024;
-constexpr std::size_t kMaxUnreadBytes = pgwire::kLargestMessage + 1024;
+constexpr std::size_t kMaxUnreadStartupBytes = pgwire::kMaxStartupPacketBytes + 1024;
+constexpr std::size_t kMaxUnreadBytes = pgwire::kMaxBufferedMessageBytes + 1024;
 constexpr std::size_t kMaxUnreadBehindRequestBytes = std::size_t{8} * 1024;
 
 struct LargeStatement {
@@ -26,7 +26,7 @@
     std::shared_ptr<void> memory;  // its share of the budget; released with the object
 };
 
-// Functions that look at the input throw pgwire::BadMessage where it is no message a client may send.
+// Functions that look at the input throw pgwire::ProtocolError where it is no message a client may send.
 class ClientFramer {
 public:
     // `connection` may be null where it could not be opened; then nothing but the destructor may be called.
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr std::size_t kMaxUnwrittenBytes = pgwire::kLargestMessage;  // beyond which input waits
+constexpr std::size_t kMaxUnwrittenBytes = pgwire::kMaxBufferedMessageBytes;  // beyond which input waits
 // Unread bytes that a session may keep while all of them together hold too much.
 constexpr std::size_t kUnreadBytesUnderPressure = std::size_t{16} * 1024;
 constexpr int kMaxMessagesPerIteration = 16;  // so that no client keeps the event loop to itself
@@ -81,7 +81,7 @@
         while (left > 0 && read_message()) --left;
         if (left == 0)
             resume_reading_.set(context_.deadlines, context_.deadlines.now(), [this] { read_messages(); });
-    } catch (const pgwire::BadMessage& error) {
+    } catch (const pgwire::ProtocolError& error) {
         if (!is_ending()) fail_session(pgwire::code::kProtocolViolation, error.what());
     }
     is_reading_ = false;
@@ -135,7 +135,7 @@
     timeouts_.message_read();
     message_arrived_at_ = framer_.large_statement_arrival();
     auto& text = statement->text;
-    if (text.find('\0') != text.size() - 1) throw pgwire::BadMessage("a query without its end");
+    if (text.find('\0') != text.size() - 1) throw pgwire::ProtocolError("a query without its end");
     text.pop_back();
     if (skip_to_sync_) return true;
     handle_query(std::move(text), std::move(statement->memory));
@@ -151,7 +151,7 @@
     try {
         const auto text = framer_.peek_query(kMaxUnreadBehindRequestBytes);
         return text && statements_.may_overlap(statements_.request_class_of(*text));
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
         return false;
     }
 }
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -13,8 +13,8 @@
 
 void ClientSession::handle_startup(std::string_view body) {
     const auto startup = pgwire::read_startup(body);
-    if (startup.kind == pgwire::Startup::encryption) return responses_.respond("N");
-    if (startup.kind == pgwire::Startup::cancel) {
+    if (startup.kind == pgwire::StartupKind::encryption) return responses_.respond("N");
+    if (startup.kind == pgwire::StartupKind::cancel) {
         // As in PostgreSQL nothing is answered here; the session that it names answers its own client.
         auto* session = context_.cancel_keys.find({startup.process, startup.secret});
         if (session) session->cancel();
@@ -29,9 +29,9 @@
     if (skip_to_sync_ && message.type != 'S' && message.type != 'X') return;
     switch (message.type) {
         case 'Q': {
-            pgwire::Fields fields(message.body);
+            pgwire::FieldReader fields(message.body);
             const auto text = fields.text();
-            if (!fields.empty()) throw pgwire::BadMessage("a query with bytes behind its end");
+            if (!fields.empty()) throw pgwire::ProtocolError("a query with bytes behind its end");
             return handle_query(std::string(text));
         }
         case 'X':
@@ -50,7 +50,7 @@
             skip_to_sync_ = message.type != 'F';
             return responses_.respond(unsupported_message_response(message.type));
         default:
-            throw pgwire::BadMessage("a message of an unknown type");
+            throw pgwire::ProtocolError("a message of an unknown type");
     }
 }
 
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -20,10 +20,11 @@
     net::Loop& loop;
     Deadlines& deadlines;
     traffic::RequestDispatcher& dispatcher;
-    net::ByteAccount& account;                  // bytes held for all clients
-    net::MemoryBudget& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
-    const net::DescriptorQuota& client_quota;   // descriptors of serving connections
-    net::DescriptorQuota& lingering_quota;      // descriptors of connections in a lingering close
+    net::ByteAccount& account;  // bytes held for all clients
+    net::MemoryBudget&
+        large_statement_budget;  // bytes of statements that exceed pgwire::kMaxBufferedMessageBytes
+    const net::DescriptorQuota& client_quota;  // descriptors of serving connections
+    net::DescriptorQuota& lingering_quota;     // descriptors of connections in a lingering close
     metrics::RequestMetrics& metrics;
     std::vector<std::string> class_names;
     // By request class: idempotent reads, which may run beside other such queries of their connection.
--- a/src/downstream/sessions/statement_reader.cpp
+++ b/src/downstream/sessions/statement_reader.cpp
@@ -30,7 +30,7 @@
     pgwire::Tags tags;
     try {
         tags = pgwire::read_tags(statement->text);
-    } catch (const pgwire::BadMessage& error) {
+    } catch (const pgwire::ProtocolError& error) {
         return StatementError{Kind::malformed, kUnknownRequestClass, error.what()};
     }
     const int request_class = find_class(tags.request_class);
@@ -45,15 +45,15 @@
     auto& arrival = parsed.request.arrival;
     arrival.request_class = request_class;
     arrival.replica_group = tags.cluster;
-    arrival.deadline = received_at + tags.left_ms * kMicrosPerMillisecond;
+    arrival.deadline = received_at + tags.time_left_ms * kMicrosPerMillisecond;
     if (arrival.deadline <= now) return StatementError{Kind::deadline_exceeded, request_class};
-    arrival.is_retry = tags.repeat;
-    if (context_.uses_sessions) arrival.session = session_id_of(tags.quoted);
+    arrival.is_retry = tags.is_retry;
+    if (context_.uses_sessions) arrival.session = session_id_of(tags.first_literal);
     if (tags.after_ms && *tags.after_ms > 0)
         arrival.last_write_age_us = std::max<Micros>(1, now - *tags.after_ms * kMicrosPerMillisecond);
     parsed.id = tags.id;
-    statement->time_left_offset = tags.left_at;
-    statement->time_left_size = tags.left_size;
+    statement->time_left_offset = tags.time_left_offset;
+    statement->time_left_size = tags.time_left_size;
     parsed.request.statement = std::move(statement);
     return parsed;
 }
@@ -61,7 +61,7 @@
 int StatementReader::request_class_of(std::string_view text) const {
     try {
         return find_class(pgwire::read_tags(text).request_class);
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
         return kUnknownRequestClass;
     }
 }
--- a/src/record/conversation/postgres.cpp
+++ b/src/record/conversation/postgres.cpp
@@ -11,12 +11,12 @@
 namespace sloestack::conversation {
 namespace {
 
-constexpr std::size_t kAnyMessage = pgwire::kLargestStatement;
+constexpr std::size_t kAnyMessage = pgwire::kMaxStatementBytes;
 
 std::size_t longest_from_client(char type) {
     switch (type) {
         case 'Q':
-            return pgwire::kLargestStatement;
+            return pgwire::kMaxStatementBytes;
         case 'X':
             return 4;
         default:
@@ -25,7 +25,9 @@
 }
 std::size_t longest_from_server(char type) {
     if (type == 'D') return kAnyMessage;
-    return std::string_view("RSKNEZTCIv").find(type) == std::string_view::npos ? 0 : pgwire::kLargestMessage;
+    return std::string_view("RSKNEZTCIv").find(type) == std::string_view::npos
+               ? 0
+               : pgwire::kMaxBufferedMessageBytes;
 }
 
 class Postgres final : public Reading {
@@ -59,10 +61,10 @@
         const auto m = pgwire::next_startup(bytes);
         if (!m) return 0;
         const auto asked = pgwire::read_startup(m->body);
-        if (asked.kind == pgwire::Startup::cancel) throw pgwire::BadMessage("a cancel request");
+        if (asked.kind == pgwire::StartupKind::cancel) throw pgwire::ProtocolError("a cancel request");
         // A request for encryption is answered by one byte before the session begins.
-        if (asked.kind == pgwire::Startup::encryption) declined_ = true;
-        if (asked.kind == pgwire::Startup::session) {
+        if (asked.kind == pgwire::StartupKind::encryption) declined_ = true;
+        if (asked.kind == pgwire::StartupKind::session) {
             started_ = true;
             opening_.assign(bytes.substr(0, m->size));
             to_.opened({connection_, at, opening_});
@@ -76,9 +78,9 @@
 }
 
 void Postgres::query(const pgwire::Message& m, std::string_view whole, Time at) {
-    pgwire::Fields in(m.body);
+    pgwire::FieldReader in(m.body);
     const auto statement = in.text();
-    if (!in.empty()) throw pgwire::BadMessage("a query with bytes behind its end");
+    if (!in.empty()) throw pgwire::ProtocolError("a query with bytes behind its end");
     Asked out;
     out.connection = connection_;
     out.at = at;
@@ -95,16 +97,18 @@
         declined_ = false;
         return 1;
     }
-    const auto size = pgwire::size_of_next(bytes.substr(0, pgwire::kHead), longest_from_server);
+    const auto size =
+        pgwire::next_message_size(bytes.substr(0, pgwire::kMessageHeaderBytes), longest_from_server);
     if (!size) return 0;
-    if (*size > pgwire::kLargestMessage) {
-        if (bytes[0] != 'D') throw pgwire::BadMessage("a message of " + std::to_string(*size) + " bytes");
+    if (*size > pgwire::kMaxBufferedMessageBytes) {
+        if (bytes[0] != 'D') throw pgwire::ProtocolError("a message of " + std::to_string(*size) + " bytes");
         said_.kind = Kind::served;
         server_.passing = *size;
         return 0;
     }
     if (bytes.size() < *size) return 0;
-    const pgwire::Message m{bytes[0], bytes.substr(pgwire::kHead, *size - pgwire::kHead), *size};
+    const pgwire::Message m{
+        bytes[0], bytes.substr(pgwire::kMessageHeaderBytes, *size - pgwire::kMessageHeaderBytes), *size};
     // A greeting's key to cancel by is drawn anew for each connection: it tells nothing of what was said.
     if (!greeted_ && m.type == 'K') return hash_rest(), *size;
     // What stands in one piece is hashed in one go, at its end.
@@ -127,7 +131,7 @@
             said_.kind = Kind::empty;
             return;
         case 'E': {
-            pgwire::Fields in(m.body);
+            pgwire::FieldReader in(m.body);
             while (!in.empty()) {
                 const auto field = in.byte();
                 if (field == 0) break;
@@ -161,7 +165,7 @@
         return to_.greeted(connection_, at, digest());
     }
     if (!open_.empty()) return answer(at, true);
-    if (!client_.cut) throw pgwire::BadMessage("an answer that nobody asked for");
+    if (!client_.cut) throw pgwire::ProtocolError("an answer that nobody asked for");
     unhashed_ = {};
     cut(Side::server, "answers to requests that cannot be read");
 }
@@ -184,11 +188,11 @@
             const auto m = pgwire::next_message(message);
             if (!m || m->type != 'Q' || m->size != message.size())
                 throw std::invalid_argument("no request with an id");
-            const auto statement = pgwire::Fields(m->body).text();
+            const auto statement = pgwire::FieldReader(m->body).text();
             std::string out;
             pgwire::Builder(out).query(renamed_statement(statement, id, key));
             return out;
-        } catch (const pgwire::BadMessage& error) {
+        } catch (const pgwire::ProtocolError& error) {
             throw std::invalid_argument(error.what());
         }
     }
--- a/src/record/conversation/reading.cpp
+++ b/src/record/conversation/reading.cpp
@@ -90,10 +90,10 @@
     try {
         const auto tags = pgwire::read_tags(statement);
         out.id = tags.id, out.request_class = tags.request_class, out.key = tags.key;
-        out.left = tags.left_ms * 1000;
+        out.left = tags.time_left_ms * 1000;
         out.group = tags.cluster;
-        out.repeat = tags.repeat;
-    } catch (const pgwire::BadMessage&) {
+        out.repeat = tags.is_retry;
+    } catch (const pgwire::ProtocolError&) {
     }
 }
 
@@ -110,7 +110,7 @@
         put(tags.id, id);
         if (!tags.key.empty() && !key_later) put(tags.key, key);
         return text;
-    } catch (const pgwire::BadMessage& error) {
+    } catch (const pgwire::ProtocolError& error) {
         throw std::invalid_argument(error.what());
     }
 }
--- a/src/record/conversation/tds.cpp
+++ b/src/record/conversation/tds.cpp
@@ -15,15 +15,15 @@
 constexpr std::string_view kAdvice = "come again after ";  // and milliseconds, in the text of a refusal
 constexpr std::uint8_t kLeastError = 11;                   // severity; below it is information
 // A statement in UTF-16, its parameters and headers.
-constexpr std::size_t kMostMessage = 2 * tds::kMostParameter + 64 * 1024;
+constexpr std::size_t kMostMessage = 2 * tds::kMaxParameterBytes + 64 * 1024;
 
 class Tds final : public Reading, private tds::TokenEvents {
 public:
     Tds(ConnectionId connection, Memory& memory, Listener& to)
         : Reading(connection, memory, to), tokens_(static_cast<tds::TokenEvents&>(*this)) {
         // What the two agree on is learned from the answer; nothing here is longer than the protocol allows.
-        from_client_.allow(tds::kMostPacket);
-        from_server_.allow(tds::kMostPacket);
+        from_client_.set_max_packet_size(tds::kMaxPacketBytes);
+        from_server_.set_max_packet_size(tds::kMaxPacketBytes);
     }
     ~Tds() override { let_go(); }
 
@@ -33,8 +33,8 @@
     void dropped(Side side) override {
         if (side == Side::client) let_go();
     }
-    void client_part(const tds::Part& part, std::string_view packet, Time at);
-    void server_part(const tds::Part& part, Time at);
+    void client_part(const tds::Packet& part, std::string_view packet, Time at);
+    void server_part(const tds::Packet& part, Time at);
     void request(Time at);
     void hold(std::string_view packet, std::string_view payload);
     void let_go() {
@@ -47,16 +47,16 @@
     void columns(const std::vector<tds::Column>&) override {}
     void row() override { said_.kind = said_.kind == Kind::none ? Kind::served : said_.kind; }
     void value(std::size_t, std::optional<std::string_view>) override {}
-    void value_begins(std::size_t, std::optional<std::uint64_t>) override {}
-    void piece(std::string_view) override {}
-    void value_ends() override {}
-    void error(const tds::Notice& notice) override;
+    void begin_value(std::size_t, std::optional<std::uint64_t>) override {}
+    void value_chunk(std::string_view) override {}
+    void end_value() override {}
+    void error(const tds::ErrorOrInfo& notice) override;
     void done(const tds::Done& done) override {
         if (done.status & tds::done::attention) called_off_ = true;
         if (said_.kind == Kind::none) said_.kind = Kind::served;
     }
 
-    tds::Packets from_client_, from_server_;
+    tds::PacketReader from_client_, from_server_;
     tds::TokenReader tokens_;
     std::string raw_, message_;  // of the client's message that is coming: its packets, and their payloads
     std::string opening_;
@@ -78,40 +78,40 @@
 void Tds::hold(std::string_view packet, std::string_view payload) {
     if (message_.size() + payload.size() > kMostMessage ||
         memory_.held + packet.size() + payload.size() > memory_.most)
-        throw tds::BadMessage("a message longer than may be held");
+        throw tds::ProtocolError("a message longer than may be held");
     raw_.append(packet);
     message_.append(payload);
     memory_.held += packet.size() + payload.size();
 }
 
-void Tds::client_part(const tds::Part& part, std::string_view packet, Time at) {
-    if (part.type == tds::Type::attention) {
-        if (!greeted_) throw tds::BadMessage("an attention before the login");
+void Tds::client_part(const tds::Packet& part, std::string_view packet, Time at) {
+    if (part.type == tds::PacketType::attention) {
+        if (!greeted_) throw tds::ProtocolError("an attention before the login");
         ++attentions_;
         return;
     }
-    if (part.type == tds::Type::result) throw tds::BadMessage("an answer from the client");
-    hold(packet, part.bytes);
-    if (!part.last) return;
-    if (part.ignored) return let_go();  // called off before it was whole: nobody answers it
-    if (part.type == tds::Type::prelogin) {
+    if (part.type == tds::PacketType::result) throw tds::ProtocolError("an answer from the client");
+    hold(packet, part.payload);
+    if (!part.is_last) return;
+    if (part.is_ignored) return let_go();  // called off before it was whole: nobody answers it
+    if (part.type == tds::PacketType::prelogin) {
         tds::read_prelogin(message_);
         prelogin_asked_ = true;
         opening_ += raw_;
-    } else if (part.type == tds::Type::login) {
+    } else if (part.type == tds::PacketType::login) {
         tds::read_login(message_);
         login_asked_ = true;
         opening_ += raw_;
         to_.opened({connection_, at, opening_});
     } else {
-        if (!login_asked_) throw tds::BadMessage("a request before the login");
+        if (!login_asked_) throw tds::ProtocolError("a request before the login");
         message_.size() ? request(at) : void();
     }
     let_go();
 }
 
 void Tds::request(Time at) {
-    const bool batch = from_client_.type() == tds::Type::batch;
+    const bool batch = from_client_.type() == tds::PacketType::batch;
     const auto read = batch ? tds::read_batch(message_) : tds::read_rpc(message_);
     Asked out;
     out.connection = connection_;
@@ -123,7 +123,7 @@
     to_.asked(out);
 }
 
-void Tds::error(const tds::Notice& notice) {
+void Tds::error(const tds::ErrorOrInfo& notice) {
     if (notice.severity < kLeastError) return;
     said_.code = std::to_string(notice.number);
     said_.kind =
@@ -134,19 +134,19 @@
     if (!digits.empty() && digits[0] >= '0' && digits[0] <= '9') said_.advice = std::stoll(digits) * 1000;
 }
 
-void Tds::server_part(const tds::Part& part, Time at) {
-    if (part.type != tds::Type::result) throw tds::BadMessage("a server's packet that is no answer");
+void Tds::server_part(const tds::Packet& part, Time at) {
+    if (part.type != tds::PacketType::result) throw tds::ProtocolError("a server's packet that is no answer");
     if (prelogin_asked_) {
-        hash(part.bytes);
-        if (part.last) prelogin_asked_ = false;
+        hash(part.payload);
+        if (part.is_last) prelogin_asked_ = false;
         return;
     }
-    tokens_.read(part.bytes);
-    hash(part.bytes);
-    if (!part.last) return;
-    if (tokens_.amid_token()) throw tds::BadMessage("an answer that ends within a token");
+    tokens_.read(part.payload);
+    hash(part.payload);
+    if (!part.is_last) return;
+    if (tokens_.is_inside_token()) throw tds::ProtocolError("an answer that ends within a token");
     if (!greeted_) {
-        if (!login_asked_) throw tds::BadMessage("an answer that nobody asked for");
+        if (!login_asked_) throw tds::ProtocolError("an answer that nobody asked for");
         said_ = {};
         called_off_ = false;
         greeted_ = true;
@@ -154,7 +154,7 @@
     }
     if (std::exchange(called_off_, false)) {
         // One acknowledgement for each attention; where the answer had left before it, it stands alone.
-        if (attentions_-- == 0) throw tds::BadMessage("an acknowledgement of no attention");
+        if (attentions_-- == 0) throw tds::ProtocolError("an acknowledgement of no attention");
         if (open_.empty()) {
             said_ = {};
             digest();
@@ -163,7 +163,7 @@
         said_.kind = Kind::called_off;
     }
     if (!open_.empty()) return answer(at, true);
-    if (!client_.cut) throw tds::BadMessage("an answer that nobody asked for");
+    if (!client_.cut) throw tds::ProtocolError("an answer that nobody asked for");
     cut(Side::server, "answers to requests that cannot be read");
 }
 
@@ -171,9 +171,9 @@
     const auto& of = side == Side::client ? client_ : server_;
     const auto& packets = side == Side::client ? from_client_ : from_server_;
     if (!of.rest.empty())
-        return of.rest.size() < tds::kHeader ? "inside a packet's header" : "inside a packet";
-    if (side == Side::server && tokens_.amid_token()) return "inside a token, between two packets";
-    return packets.amid_message() ? "between two packets of a message" : "";
+        return of.rest.size() < tds::kPacketHeaderBytes ? "inside a packet's header" : "inside a packet";
+    if (side == Side::server && tokens_.is_inside_token()) return "inside a token, between two packets";
+    return packets.is_inside_message() ? "between two packets of a message" : "";
 }
 
 class TdsLanguage final : public Language {
@@ -183,28 +183,28 @@
     }
     std::string renamed(std::string_view message, std::string_view id, std::string_view key) const override {
         try {
-            tds::Packets packets;
-            packets.allow(tds::kMostPacket);
+            tds::PacketReader packets;
+            packets.set_max_packet_size(tds::kMaxPacketBytes);
             std::string payload;
-            std::size_t longest = tds::kLeastPacket;
+            std::size_t longest = tds::kMinPacketBytes;
             while (const auto part = packets.next(message)) {
-                payload.append(part->bytes);
+                payload.append(part->payload);
                 longest = std::max(longest, part->size);
                 message.remove_prefix(part->size);
             }
-            if (!message.empty() || packets.amid_message())
+            if (!message.empty() || packets.is_inside_message())
                 throw std::invalid_argument("no request with an id");
-            const bool batch = packets.type() == tds::Type::batch;
+            const bool batch = packets.type() == tds::PacketType::batch;
             auto request = batch ? tds::read_batch(payload) : tds::read_rpc(payload);
             request.statement = renamed_statement(request.statement, id, key);
             std::string out;
             tds::PacketWriter writer(out);
             // In packets no longer than those that were recorded: that size was agreed on.
-            writer.allow(longest);
+            writer.set_packet_size(longest);
             writer.message(packets.type(),
                            batch ? tds::build_batch(request.statement) : tds::build_rpc(request));
             return out;
-        } catch (const tds::BadMessage& error) {
+        } catch (const tds::ProtocolError& error) {
             throw std::invalid_argument(error.what());
         }
     }
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Space for the largest reply that is buffered, and what comes before and after it.
-constexpr std::size_t kMaxUnreadBytes = pgwire::kLargestMessage + std::size_t{32} * 1024;
+constexpr std::size_t kMaxUnreadBytes = pgwire::kMaxBufferedMessageBytes + std::size_t{32} * 1024;
 constexpr std::size_t kMaxStartupMessageBytes = std::size_t{8} * 1024;
 constexpr std::size_t kQueryOverheadBytes = 8;  // of the message round a statement, for one allocation
 constexpr const char* kHealthCheckQuery = "SHOW load";
@@ -30,7 +30,7 @@
 void PostgresConnection::connected() {
     state_ = State::starting;
     std::string out;
-    pgwire::Builder(out).startup(credentials_.user, credentials_.database);
+    pgwire::Builder(out).startup_message(credentials_.user, credentials_.database);
     connection_->write(out);
 }
 
@@ -47,7 +47,7 @@
 void PostgresConnection::send_health_check() { send_text(kHealthCheckQuery); }
 
 void PostgresConnection::send_query(std::shared_ptr<const traffic::Statement> statement, Micros time_left) {
-    if (statement->text.size() <= pgwire::kLargestMessage)
+    if (statement->text.size() <= pgwire::kMaxBufferedMessageBytes)
         return send_text(statement->with_time_left(time_left));
     send_large_statement(statement, time_left);
 }
@@ -68,7 +68,7 @@
     const auto digits = traffic::Statement::format_time_left(time_left);
     const auto digits_end = statement->time_left_offset + statement->time_left_size;
     std::string head;
-    pgwire::Builder(head).query_head(text.size() - statement->time_left_size + digits.size());
+    pgwire::Builder(head).query_header(text.size() - statement->time_left_size + digits.size());
     connection_->write(head);
     connection_->write(text.substr(0, statement->time_left_offset), statement);
     connection_->write(digits);
@@ -88,17 +88,17 @@
         // For a query that has only just been sent no part of a reply has arrived yet.
         if (state_ == State::busy && (reply_has_begun_ || connection_->held() > 0))
             events_.on_response_progress(*this);
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
         fail_invalid_response();
     }
 }
 
 bool PostgresConnection::read_next() {
     if (value_bytes_left_ > 0) return read_value_chunk();
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead),
-                                           [this](char type) { return max_size_of(type); });
+    const auto size = pgwire::next_message_size(connection_->unread(pgwire::kMessageHeaderBytes),
+                                                [this](char type) { return max_size_of(type); });
     if (!size) return false;
-    if (state_ == State::busy && *size > pgwire::kLargestMessage) return begin_stream(*size);
+    if (state_ == State::busy && *size > pgwire::kMaxBufferedMessageBytes) return begin_stream(*size);
     return read_message(*size);
 }
 
@@ -123,8 +123,8 @@
 }
 
 void PostgresConnection::handle_startup_message(const pgwire::Message& message) {
-    if (message.type == 'R' && pgwire::Fields(message.body).int32() != 0)
-        throw pgwire::BadMessage("a member asks for a password");
+    if (message.type == 'R' && pgwire::FieldReader(message.body).int32() != 0)
+        throw pgwire::ProtocolError("a member asks for a password");
     if (message.type == 'E') {
         startup_error_ =
             pgwire::find_error_field(message.body, pgwire::kSqlstateField).value_or(kInternalError);
@@ -162,7 +162,7 @@
 
 bool PostgresConnection::read_value_chunk() {
     if (is_paused_ || connection_->held() == 0) return false;
-    const auto bytes = connection_->unread(std::min(value_bytes_left_, pgwire::kLargestMessage));
+    const auto bytes = connection_->unread(std::min(value_bytes_left_, pgwire::kMaxBufferedMessageBytes));
     value_bytes_left_ -= bytes.size();
     events_.on_value_chunk(*this, bytes);
     if (state_ != State::broken) connection_->consume(bytes.size());
--- a/src/upstream/postgres/reply_parser.cpp
+++ b/src/upstream/postgres/reply_parser.cpp
@@ -16,8 +16,8 @@
 constexpr std::uint16_t kBinaryFormat = 1;
 constexpr double kMicrosPerMillisecond = 1e3;
 
-void expect_end(const pgwire::Fields& fields) {
-    if (!fields.empty()) throw pgwire::BadMessage("a message longer than its fields");
+void expect_end(const pgwire::FieldReader& fields) {
+    if (!fields.empty()) throw pgwire::ProtocolError("a message longer than its fields");
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
         case 'I':
             return has_begun ? 0 : kMaxMessageBytes;
         case 'D':
-            return row_may_come ? pgwire::kLargestValue + kRowHeadBytes - 1 : 0;
+            return row_may_come ? pgwire::kMaxValueBytes + kRowHeadBytes - 1 : 0;
         case 'C':
         case 'E':
             return response_.outcome ? 0 : kMaxMessageBytes;
@@ -77,24 +77,24 @@
             read_ready(message.body);
             return true;
         default:
-            throw pgwire::BadMessage("an unknown message from a member");
+            throw pgwire::ProtocolError("an unknown message from a member");
     }
 }
 
 std::size_t ReplyParser::begin_streamed_row(std::string_view head, std::size_t size) {
-    pgwire::Fields fields(head);
+    pgwire::FieldReader fields(head);
     fields.byte();   // type
     fields.int32();  // length, known as `size`
     read_column_count(fields);
     const std::size_t value_size = fields.int32();
-    if (value_size != size - kRowHeadBytes) throw pgwire::BadMessage("a value that does not fill its row");
+    if (value_size != size - kRowHeadBytes) throw pgwire::ProtocolError("a value that does not fill its row");
     has_row_ = true;
     return value_size;
 }
 
 // Parameters on the wire: `role`; `applied_ms`, the replication position; `load`, a load report.
 void ReplyParser::read_parameter(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     const auto name = fields.text();
     const auto value = fields.text();
     expect_end(fields);
@@ -110,8 +110,8 @@
 }
 
 void ReplyParser::read_row_description(std::string_view body) {
-    pgwire::Fields fields(body);
-    if (fields.int16() != 1) throw pgwire::BadMessage("a row of other than one column");
+    pgwire::FieldReader fields(body);
+    if (fields.int16() != 1) throw pgwire::ProtocolError("a row of other than one column");
     auto& value = response_.value.emplace();
     value.column = fields.text();
     fields.int32();  // table
@@ -120,17 +120,18 @@
     fields.int16();  // size of the type
     fields.int32();  // type modifier
     const auto format = fields.int16();
-    if (format > kBinaryFormat) throw pgwire::BadMessage("a column of an unknown format");
+    if (format > kBinaryFormat) throw pgwire::ProtocolError("a column of an unknown format");
     value.is_binary = format == kBinaryFormat;
     expect_end(fields);
 }
 
-void ReplyParser::read_column_count(pgwire::Fields& fields) const {
-    if (!response_.value || has_row_ || fields.int16() != 1) throw pgwire::BadMessage("a row out of place");
+void ReplyParser::read_column_count(pgwire::FieldReader& fields) const {
+    if (!response_.value || has_row_ || fields.int16() != 1)
+        throw pgwire::ProtocolError("a row out of place");
 }
 
 void ReplyParser::read_row(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     read_column_count(fields);
     const auto size = fields.int32();
     auto& value = *response_.value;
@@ -142,7 +143,7 @@
 
 // A command that completes without a row has not served its query.
 void ReplyParser::read_command_complete(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     const auto command_tag = fields.text();
     expect_end(fields);
     if (response_.value) response_.value->command_tag = command_tag;
@@ -151,15 +152,15 @@
 
 void ReplyParser::read_error(std::string_view body) {
     const auto sqlstate = pgwire::find_error_field(body, pgwire::kSqlstateField);
-    if (!sqlstate) throw pgwire::BadMessage("an error without its code");
+    if (!sqlstate) throw pgwire::ProtocolError("an error without its code");
     response_.outcome = outcome_of_sqlstate(*sqlstate);
 }
 
 void ReplyParser::read_ready(std::string_view body) const {
     constexpr std::uint8_t kOutsideTransaction = 'I';
-    if (!response_.outcome) throw pgwire::BadMessage("ready without an answer");
-    pgwire::Fields fields(body);
-    if (fields.byte() != kOutsideTransaction) throw pgwire::BadMessage("ready inside a transaction");
+    if (!response_.outcome) throw pgwire::ProtocolError("ready without an answer");
+    pgwire::FieldReader fields(body);
+    if (fields.byte() != kOutsideTransaction) throw pgwire::ProtocolError("ready inside a transaction");
     expect_end(fields);
 }
 
--- a/src/wire/http/request.h
+++ b/src/wire/http/request.h
@@ -10,24 +10,24 @@
 
 namespace sloestack::http {
 
-struct BadRequest : std::runtime_error {
+struct RequestError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class RequestParser {
 public:
-    static constexpr std::size_t kLargestHead = 8 * 1024;
-    static constexpr std::size_t kLargestBody = 64 * 1024;
+    static constexpr std::size_t kMaxHeadBytes = 8 * 1024;
+    static constexpr std::size_t kMaxBodyBytes = 64 * 1024;
 
-    // Takes the next bytes; what comes behind the request is dropped. Throws BadRequest as soon as they
+    // Takes the next bytes; what comes behind the request is dropped. Throws RequestError as soon as they
     // cannot become one.
     void feed(std::string_view bytes);
 
     bool done() const { return head_done_ && body_left_ == 0; }
     const std::string& method() const { return method_; }
     const std::string& path() const { return path_; }
-    // A parameter of the query, decoded; nothing where it is not there. Throws BadRequest where it cannot be
-    // decoded.
+    // A parameter of the query, decoded; nothing where it is not there. Throws RequestError where it cannot
+    // be decoded.
     std::optional<std::string> parameter(std::string_view name) const;
 
 private:
--- a/src/wire/http/response.cpp
+++ b/src/wire/http/response.cpp
@@ -23,8 +23,9 @@
 std::size_t number(std::string_view text, int base) {
     std::size_t out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
-    if (error != std::errc() || end != text.data() + text.size()) throw BadResponse("a length is no number");
-    if (out > ResponseParser::kLargestBody) throw BadResponse("the body is too large");
+    if (error != std::errc() || end != text.data() + text.size())
+        throw ResponseError("a length is no number");
+    if (out > ResponseParser::kMaxBodyBytes) throw ResponseError("the body is too large");
     return out;
 }
 
@@ -52,7 +53,7 @@
                 const auto end = rest.find('\n');
                 const auto part = rest.substr(0, end);
                 head_ += part.size() + 1;
-                if (head_ > kLargestHead) throw BadResponse("the head is too large");
+                if (head_ > kMaxHeadBytes) throw ResponseError("the head is too large");
                 line_.append(part);
                 taken += part.size();
                 if (end == std::string_view::npos) break;
@@ -84,7 +85,7 @@
             state_ = left_ ? State::chunk : State::trailers;
             return;
         case State::chunk_end:
-            if (!text.empty()) throw BadResponse("a chunk is longer than its size");
+            if (!text.empty()) throw ResponseError("a chunk is longer than its size");
             state_ = State::chunk_size;
             return;
         default:  // trailers
@@ -94,7 +95,7 @@
 
 void ResponseParser::status_line(std::string_view text) {
     if (text.substr(0, 7) != "HTTP/1." || text.size() < 12 || text[8] != ' ')
-        throw BadResponse("not an HTTP/1 response");
+        throw ResponseError("not an HTTP/1 response");
     keep_open_ = text[7] != '0';
     status_ = static_cast<int>(number(text.substr(9, 3), 10));
     state_ = State::headers;
@@ -102,14 +103,14 @@
 
 void ResponseParser::header(std::string_view text) {
     const auto colon = text.find(':');
-    if (colon == std::string_view::npos) throw BadResponse("a header without a colon");
+    if (colon == std::string_view::npos) throw ResponseError("a header without a colon");
     const auto name = lower(text.substr(0, colon));
     const auto value = lower(trim(text.substr(colon + 1)));
     if (name == "content-length") {
         left_ = number(value, 10);
         sized_ = true;
     } else if (name == "transfer-encoding") {
-        if (value != "chunked") throw BadResponse("an unknown transfer encoding");
+        if (value != "chunked") throw ResponseError("an unknown transfer encoding");
         chunked_ = true;
     } else if (name == "connection") {
         if (value == "close") keep_open_ = false;
@@ -133,7 +134,7 @@
 }
 
 void ResponseParser::append(std::string_view bytes) {
-    if (body_.size() + bytes.size() > kLargestBody) throw BadResponse("the body is too large");
+    if (body_.size() + bytes.size() > kMaxBodyBytes) throw ResponseError("the body is too large");
     body_.append(bytes);
 }
 
--- a/src/wire/http/response.h
+++ b/src/wire/http/response.h
@@ -8,17 +8,17 @@
 
 namespace sloestack::http {
 
-struct BadResponse : std::runtime_error {
+struct ResponseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class ResponseParser {
 public:
-    static constexpr std::size_t kLargestHead = 16 * 1024;
-    static constexpr std::size_t kLargestBody = 4 * 1024 * 1024;
+    static constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+    static constexpr std::size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
     // Takes bytes up to the end of one response and returns how many; done() tells whether it is whole.
-    // Throws BadResponse.
+    // Throws ResponseError.
     std::size_t feed(std::string_view bytes);
     // The peer has closed: where that is what ends the body, the response is whole now.
     void end_of_input();
--- a/src/wire/pgwire/build.cpp
+++ b/src/wire/pgwire/build.cpp
@@ -27,7 +27,7 @@
 }
 void Builder::text(std::string_view value) { out_.append(value).push_back('\0'); }
 
-Builder& Builder::startup(std::string_view user, std::string_view database) {
+Builder& Builder::startup_message(std::string_view user, std::string_view database) {
     return message('\0', [&] {
         int32(kProtocol30);
         text("user"), text(user);
@@ -38,7 +38,7 @@
 Builder& Builder::query(std::string_view statement) {
     return message('Q', [&] { text(statement); });
 }
-Builder& Builder::query_head(std::size_t size) {
+Builder& Builder::query_header(std::size_t size) {
     out_.push_back('Q');
     int32(static_cast<std::uint32_t>(4 + size + 1));
     return *this;
@@ -46,28 +46,28 @@
 Builder& Builder::authentication_ok() {
     return message('R', [&] { int32(0); });
 }
-Builder& Builder::parameter(std::string_view name, std::string_view value) {
+Builder& Builder::parameter_status(std::string_view name, std::string_view value) {
     return message('S', [&] { text(name), text(value); });
 }
-Builder& Builder::backend_key(std::uint32_t process, std::uint32_t secret) {
+Builder& Builder::backend_key_data(std::uint32_t process, std::uint32_t secret) {
     return message('K', [&] { int32(process), int32(secret); });
 }
-Builder& Builder::negotiate_minor() {
+Builder& Builder::negotiate_protocol_version() {
     return message('v', [&] { int32(kProtocol30), int32(0); });
 }
-Builder& Builder::greeting(std::uint32_t process, std::uint32_t secret) {
+Builder& Builder::startup_response(std::uint32_t process, std::uint32_t secret) {
     return authentication_ok()
-        .parameter("server_version", "15.0 (sloestack)")
-        .parameter("server_encoding", "UTF8")
-        .parameter("client_encoding", "UTF8")
-        .parameter("standard_conforming_strings", "on")
-        .backend_key(process, secret)
-        .ready();
-}
-Builder& Builder::ready() {
+        .parameter_status("server_version", "15.0 (sloestack)")
+        .parameter_status("server_encoding", "UTF8")
+        .parameter_status("client_encoding", "UTF8")
+        .parameter_status("standard_conforming_strings", "on")
+        .backend_key_data(process, secret)
+        .ready_for_query();
+}
+Builder& Builder::ready_for_query() {
     return message('Z', [&] { out_.push_back('I'); });
 }
-Builder& Builder::empty_query() {
+Builder& Builder::empty_query_response() {
     return message('I', [] {});
 }
 Builder& Builder::row_description(std::string_view column, std::uint32_t type, bool binary) {
@@ -87,18 +87,18 @@
         if (value) out_.append(*value);
     });
 }
-Builder& Builder::data_row_head(std::size_t size) {
+Builder& Builder::data_row_header(std::size_t size) {
     out_.push_back('D');
     int32(static_cast<std::uint32_t>(4 + 2 + 4 + size));
     int16(1);
     int32(static_cast<std::uint32_t>(size));
     return *this;
 }
-Builder& Builder::complete(std::string_view tag) {
+Builder& Builder::command_complete(std::string_view tag) {
     return message('C', [&] { text(tag); });
 }
-Builder& Builder::error(std::string_view severity, std::string_view sqlstate, std::string_view what,
-                        std::optional<std::int64_t> retry_after_ms) {
+Builder& Builder::error_response(std::string_view severity, std::string_view sqlstate, std::string_view what,
+                                 std::optional<std::int64_t> retry_after_ms) {
     return message('E', [&] {
         const auto field = [&](char name, std::string_view value) { out_.push_back(name), text(value); };
         field('S', severity);
@@ -109,7 +109,7 @@
         out_.push_back('\0');
     });
 }
-Builder& Builder::notice(std::string_view what) {
+Builder& Builder::notice_response(std::string_view what) {
     return message('N', [&] {
         for (const auto& [name, value] :
              {std::pair<char, std::string_view>{'S', "NOTICE"}, {'V', "NOTICE"}, {'C', "00000"}, {'M', what}})
--- a/src/wire/pgwire/build.h
+++ b/src/wire/pgwire/build.h
@@ -28,25 +28,25 @@
     explicit Builder(std::string& out) : out_(out) {}
 
     // To a member
-    Builder& startup(std::string_view user, std::string_view database);
+    Builder& startup_message(std::string_view user, std::string_view database);
     Builder& query(std::string_view statement);
-    Builder& query_head(std::size_t size);  // a statement of so many bytes and a zero byte follow
+    Builder& query_header(std::size_t size);  // a statement of so many bytes and a zero byte follow
     // To a client
     Builder& authentication_ok();
-    Builder& parameter(std::string_view name, std::string_view value);
-    Builder& backend_key(std::uint32_t process, std::uint32_t secret);
-    Builder& negotiate_minor();  // only 3.0 is spoken
+    Builder& parameter_status(std::string_view name, std::string_view value);
+    Builder& backend_key_data(std::uint32_t process, std::uint32_t secret);
+    Builder& negotiate_protocol_version();  // only 3.0 is spoken
     // All that this program says to a client that begins a session; the key is for its requests to cancel.
-    Builder& greeting(std::uint32_t process = 0, std::uint32_t secret = 0);
-    Builder& ready();
-    Builder& empty_query();
+    Builder& startup_response(std::uint32_t process = 0, std::uint32_t secret = 0);
+    Builder& ready_for_query();
+    Builder& empty_query_response();
     Builder& row_description(std::string_view column, std::uint32_t type, bool binary);
     Builder& data_row(std::optional<std::string_view> value);
-    Builder& data_row_head(std::size_t size);  // so many bytes follow
-    Builder& complete(std::string_view tag);
-    Builder& error(std::string_view severity, std::string_view sqlstate, std::string_view message,
-                   std::optional<std::int64_t> retry_after_ms = std::nullopt);
-    Builder& notice(std::string_view message);
+    Builder& data_row_header(std::size_t size);  // so many bytes follow
+    Builder& command_complete(std::string_view tag);
+    Builder& error_response(std::string_view severity, std::string_view sqlstate, std::string_view message,
+                            std::optional<std::int64_t> retry_after_ms = std::nullopt);
+    Builder& notice_response(std::string_view message);
 
 private:
     // Writes one message: its type, its length once known, and what `body` appends.
--- a/src/wire/pgwire/error_fields.cpp
+++ b/src/wire/pgwire/error_fields.cpp
@@ -3,7 +3,7 @@
 namespace sloestack::pgwire {
 
 std::optional<std::string_view> find_error_field(std::string_view body, char type) {
-    Fields fields(body);
+    FieldReader fields(body);
     while (!fields.empty()) {
         const char field_type = static_cast<char>(fields.byte());
         if (field_type == '\0') break;
--- a/src/wire/pgwire/error_fields.h
+++ b/src/wire/pgwire/error_fields.h
@@ -11,8 +11,8 @@
 
 constexpr char kSqlstateField = 'C';
 
-// The text of the first field of a type, within `body`; nothing where there is none. Throws BadMessage where
-// the body ends amid a field before it.
+// The text of the first field of a type, within `body`; nothing where there is none. Throws ProtocolError
+// where the body ends amid a field before it.
 std::optional<std::string_view> find_error_field(std::string_view body, char type);
 
 }  // namespace sloestack::pgwire
--- a/src/wire/pgwire/statement.cpp
+++ b/src/wire/pgwire/statement.cpp
@@ -19,7 +19,7 @@
     T out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     if (error != std::errc() || end != text.data() + text.size() || out < least || out > most)
-        throw BadMessage("the statement's comment has no valid " + std::string(name));
+        throw ProtocolError("the statement's comment has no valid " + std::string(name));
     return out;
 }
 
@@ -39,19 +39,19 @@
     const auto open = whole.rfind("/*");
     if (open == std::string_view::npos || open == 0 || whole.size() < open + 4 ||
         whole.substr(whole.size() - 2) != "*/")
-        throw BadMessage("the statement does not end with its comment");
+        throw ProtocolError("the statement does not end with its comment");
     const auto sql = whole.substr(0, open);
     auto rest = whole.substr(open + 2, whole.size() - open - 4);
     Tags out;
-    out.quoted = first_quoted(sql);
-    if (out.quoted.empty()) throw BadMessage("the statement names no key");
+    out.first_literal = first_quoted(sql);
+    if (out.first_literal.empty()) throw ProtocolError("the statement names no key");
     bool has_left = false, has_cluster = false;
     while (!rest.empty()) {
         const auto comma = rest.find(',');
         const auto pair = trim(rest.substr(0, comma), kSpace);
         rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
         const auto equals = pair.find('=');
-        if (equals == std::string_view::npos) throw BadMessage("the statement's comment is malformed");
+        if (equals == std::string_view::npos) throw ProtocolError("the statement's comment is malformed");
         const auto name = pair.substr(0, equals), value = pair.substr(equals + 1);
         if (name == "id") {
             out.id = value;
@@ -60,9 +60,9 @@
         } else if (name == "k") {
             out.key = value;
         } else if (name == "d") {
-            out.left_ms = number<std::int64_t>("d", value, 0, kLongestMs);
-            out.left_at = static_cast<std::size_t>(value.data() - statement.data());
-            out.left_size = value.size();
+            out.time_left_ms = number<std::int64_t>("d", value, 0, kLongestMs);
+            out.time_left_offset = static_cast<std::size_t>(value.data() - statement.data());
+            out.time_left_size = value.size();
             has_left = true;
         } else if (name == "cluster") {
             out.cluster = number("cluster", value, 0, 65535);
@@ -70,13 +70,13 @@
         } else if (name == "after") {
             out.after_ms = number<std::int64_t>("after", value, 0, std::int64_t{1} << 50);
         } else if (name == "r") {
-            out.repeat = value == "1";
+            out.is_retry = value == "1";
         }
     }
-    if (out.id.empty()) throw BadMessage("the statement's comment has no valid id");
-    if (out.request_class.empty()) throw BadMessage("the statement's comment has no valid c");
-    if (!has_left) throw BadMessage("the statement's comment has no valid d");
-    if (!has_cluster) throw BadMessage("the statement's comment has no valid cluster");
+    if (out.id.empty()) throw ProtocolError("the statement's comment has no valid id");
+    if (out.request_class.empty()) throw ProtocolError("the statement's comment has no valid c");
+    if (!has_left) throw ProtocolError("the statement's comment has no valid d");
+    if (!has_cluster) throw ProtocolError("the statement's comment has no valid cluster");
     return out;
 }
 
--- a/src/wire/tds/cursor.h
+++ b/src/wire/tds/fields.h
@@ -10,17 +10,17 @@
 
 namespace sloestack::tds {
 
-// Over bytes that are all there: reading past their end throws BadMessage. Over the beginning of something
-// longer it throws Short instead, which says to come again with more.
-struct Short {};
-class Cursor {
+// Over bytes that are all there: reading past their end throws ProtocolError. Over the beginning of something
+// longer it throws IncompleteInput instead, which says to come again with more.
+struct IncompleteInput {};
+class FieldReader {
 public:
-    explicit Cursor(std::string_view bytes, bool whole = true)
+    explicit FieldReader(std::string_view bytes, bool whole = true)
         : left_(bytes), size_(bytes.size()), whole_(whole) {}
     std::string_view bytes(std::size_t count) {
         if (count > left_.size()) {
-            if (!whole_) throw Short{};
-            throw BadMessage("a field that runs past the end of its message");
+            if (!whole_) throw IncompleteInput{};
+            throw ProtocolError("a field that runs past the end of its message");
         }
         const auto out = left_.substr(0, count);
         left_.remove_prefix(count);
@@ -50,27 +50,29 @@
     bool whole_;
 };
 
-class Put {
+class FieldWriter {
 public:
-    explicit Put(std::string& out) : out_(out) {}
-    Put& u8(std::uint64_t v) { return number(v, 1); }
-    Put& u16(std::uint64_t v) { return number(v, 2); }
-    Put& u32(std::uint64_t v) { return number(v, 4); }
-    Put& u64(std::uint64_t v) { return number(v, 8); }
-    Put& bytes(std::string_view b) {
+    explicit FieldWriter(std::string& out) : out_(out) {}
+    FieldWriter& u8(std::uint64_t v) { return number(v, 1); }
+    FieldWriter& u16(std::uint64_t v) { return number(v, 2); }
+    FieldWriter& u32(std::uint64_t v) { return number(v, 4); }
+    FieldWriter& u64(std::uint64_t v) { return number(v, 8); }
+    FieldWriter& bytes(std::string_view b) {
         out_.append(b);
         return *this;
     }
     // The length counts characters of two bytes; a text too long for its length is cut at a whole character.
-    Put& b_varchar(std::string_view text) { return counted(text, 1, 255); }
-    Put& us_varchar(std::string_view text, std::size_t most = 65535) { return counted(text, 2, most); }
+    FieldWriter& b_varchar(std::string_view text) { return counted(text, 1, 255); }
+    FieldWriter& us_varchar(std::string_view text, std::size_t most = 65535) {
+        return counted(text, 2, most);
+    }
 
 private:
-    Put& number(std::uint64_t v, int size) {
+    FieldWriter& number(std::uint64_t v, int size) {
         for (int i = 0; i < size; ++i) out_.push_back(static_cast<char>(v >> (8 * i)));
         return *this;
     }
-    Put& counted(std::string_view text, int size, std::size_t most) {
+    FieldWriter& counted(std::string_view text, int size, std::size_t most) {
         auto units = to_utf16(text);
         if (units.size() / 2 > most) {
             units.resize(most * 2);
--- a/src/wire/tds/login.cpp
+++ b/src/wire/tds/login.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "tds/cursor.h"
+#include "tds/fields.h"
 
 namespace sloestack::tds {
 namespace {
@@ -27,11 +27,11 @@
     explicit Places(std::string_view whole) : whole_(whole) {}
     std::string_view take(std::size_t offset, std::size_t size) {
         if (size == 0) return {};  // an absent field's offset says nothing
-        if (offset < kFixed) throw BadMessage("a login whose field lies in its fixed part");
+        if (offset < kFixed) throw ProtocolError("a login whose field lies in its fixed part");
         if (offset > whole_.size() || size > whole_.size() - offset)
-            throw BadMessage("a login whose field lies outside of it");
+            throw ProtocolError("a login whose field lies outside of it");
         for (const auto& [from, to] : taken_)
-            if (offset < to && from < offset + size) throw BadMessage("a login whose fields overlap");
+            if (offset < to && from < offset + size) throw ProtocolError("a login whose fields overlap");
         taken_.emplace_back(offset, offset + size);
         return whole_.substr(offset, size);
     }
@@ -55,11 +55,11 @@
 
 std::map<std::uint8_t, std::string> read_features(std::string_view bytes) {
     std::map<std::uint8_t, std::string> out;
-    Cursor in(bytes);
+    FieldReader in(bytes);
     for (auto id = in.u8(); id != kTerminator; id = in.u8()) {
         const auto size = in.u32();
         if (!out.emplace(id, in.bytes(size)).second)
-            throw BadMessage("a login that asks for a feature twice");
+            throw ProtocolError("a login that asks for a feature twice");
     }
     return out;
 }
@@ -70,27 +70,28 @@
     Prelogin out;
     bool has_version = false;
     for (std::size_t at = 0;; at += kOption) {
-        if (at >= payload.size()) throw BadMessage("a prelogin whose options have no end");
+        if (at >= payload.size()) throw ProtocolError("a prelogin whose options have no end");
         const auto token = static_cast<std::uint8_t>(payload[at]);
         if (token == kTerminator) break;
-        if (payload.size() - at < kOption) throw BadMessage("a prelogin whose options have no end");
+        if (payload.size() - at < kOption) throw ProtocolError("a prelogin whose options have no end");
         const std::size_t offset = big16(payload, at + 1), size = big16(payload, at + 3);
         if (offset > payload.size() || size > payload.size() - offset)
-            throw BadMessage("a prelogin whose option lies outside of it");
+            throw ProtocolError("a prelogin whose option lies outside of it");
         // The version comes first (MS-TDS 2.2.6.5), which also tells a prelogin from TLS bytes.
-        if (at == 0 && token != kVersion) throw BadMessage("a prelogin that does not begin with its version");
+        if (at == 0 && token != kVersion)
+            throw ProtocolError("a prelogin that does not begin with its version");
         const auto value = payload.substr(offset, size);
         const auto byte = [&] {
-            if (value.size() != 1) throw BadMessage("a prelogin option of a wrong size");
+            if (value.size() != 1) throw ProtocolError("a prelogin option of a wrong size");
             return static_cast<std::uint8_t>(value[0]);
         };
         if (token == kVersion) {
-            if (has_version || size != 6) throw BadMessage("a prelogin option of a wrong size");
+            if (has_version || size != 6) throw ProtocolError("a prelogin option of a wrong size");
             has_version = true;
             out.version = static_cast<std::uint32_t>(big16(value, 0)) << 16 | big16(value, 2);
         } else if (token == kEncryption) {
             const auto said = byte();
-            if ((said & 0x7f) > 3) throw BadMessage("a prelogin with an unknown word on encryption");
+            if ((said & 0x7f) > 3) throw ProtocolError("a prelogin with an unknown word on encryption");
             out.encryption = said & 0x80 ? Encryption::required : static_cast<Encryption>(said);
         } else if (token == kInstance) {
             out.instance = value.substr(0, value.find('\0'));
@@ -128,17 +129,17 @@
 }
 
 Login read_login(std::string_view payload) {
-    if (payload.size() < kFixed) throw BadMessage("a login shorter than its fixed part");
-    Cursor in(payload);
-    if (in.u32() != payload.size()) throw BadMessage("a login that is not as long as it says");
+    if (payload.size() < kFixed) throw ProtocolError("a login shorter than its fixed part");
+    FieldReader in(payload);
+    if (in.u32() != payload.size()) throw ProtocolError("a login that is not as long as it says");
     Login out;
     out.version = in.u32();
     const auto known = {kVersion72, kVersion73a, kVersion73b, kVersion74};
     if (std::find(known.begin(), known.end(), out.version) == known.end())
-        throw BadMessage("a login of a version other than 7.2 to 7.4");
+        throw ProtocolError("a login of a version other than 7.2 to 7.4");
     out.packet_size = in.u32();
-    if (out.packet_size == 0) out.packet_size = kFirstPacket;  // the server is to choose
-    out.packet_size = std::clamp(out.packet_size, kLeastPacket, kMostPacket);
+    if (out.packet_size == 0) out.packet_size = kDefaultPacketBytes;  // the server is to choose
+    out.packet_size = std::clamp(out.packet_size, kMinPacketBytes, kMaxPacketBytes);
     in.bytes(12);  // program's version, process and connection
     in.u8();
     out.integrated = in.u8() & kIntegrated;
@@ -147,20 +148,20 @@
     in.bytes(8);  // time zone and locale
     Places places(payload);
     const auto field = [&](std::size_t at) {
-        Cursor c(payload.substr(at));
+        FieldReader c(payload.substr(at));
         const std::size_t offset = c.u16(), count = c.u16();
         return std::pair{offset, count};
     };
     const auto text = [&](std::size_t index) {
         const auto [offset, count] = field(kFields + index * 4);
-        if (count > kLongestText) throw BadMessage("a login with a name of more than 128 characters");
+        if (count > kLongestText) throw ProtocolError("a login with a name of more than 128 characters");
         return from_utf16(places.take(offset, count * 2));
     };
     out.host = text(0);
     out.user = text(1);
     {
         const auto [offset, count] = field(kFields + 8);
-        if (count > kLongestText) throw BadMessage("a login with a password of more than 128 characters");
+        if (count > kLongestText) throw ProtocolError("a login with a password of more than 128 characters");
         out.password = from_utf16(veiled(std::string(places.take(offset, count * 2)), false));
     }
     out.app = text(3);
@@ -178,9 +179,10 @@
     out.changes_password = change_count > 0 || (flags3 & kChangePassword);
     places.take(change_at, change_count * 2);
     if ((flags3 & kExtension) && extension_size > 0) {
-        if (extension_size < 4) throw BadMessage("a login whose extension has no place");
-        const auto at = Cursor(places.take(extension_at, extension_size)).u32();
-        if (at < kFixed || at >= payload.size()) throw BadMessage("a login whose field lies outside of it");
+        if (extension_size < 4) throw ProtocolError("a login whose extension has no place");
+        const auto at = FieldReader(places.take(extension_at, extension_size)).u32();
+        if (at < kFixed || at >= payload.size())
+            throw ProtocolError("a login whose field lies outside of it");
         out.features = read_features(payload.substr(at));
     }
     return out;
@@ -189,16 +191,20 @@
 std::string build_login(const Login& login) {
     std::string data, fixed;
     const auto place = [&](std::string_view bytes, std::size_t count) {
-        Put(fixed).u16(kFixed + data.size()).u16(count);
+        FieldWriter(fixed).u16(kFixed + data.size()).u16(count);
         data.append(bytes);
     };
     const auto text = [&](const std::string& t) {
         const auto units = to_utf16(t);
         place(units, units.size() / 2);
     };
-    Put(fixed).u32(0).u32(login.version).u32(login.packet_size).u32(0).u32(0).u32(0);
-    Put(fixed).u8(0).u8(login.integrated ? kIntegrated : 0).u8(0).u8(login.features.empty() ? 0 : kExtension);
-    Put(fixed).u32(0).u32(0);
+    FieldWriter(fixed).u32(0).u32(login.version).u32(login.packet_size).u32(0).u32(0).u32(0);
+    FieldWriter(fixed)
+        .u8(0)
+        .u8(login.integrated ? kIntegrated : 0)
+        .u8(0)
+        .u8(login.features.empty() ? 0 : kExtension);
+    FieldWriter(fixed).u32(0).u32(0);
     text(login.host);
     text(login.user);
     const auto password = veiled(to_utf16(login.password), true);
@@ -206,25 +212,26 @@
     text(login.app);
     text(login.server);
     const auto extension = fixed.size();
-    Put(fixed).u16(0).u16(0);
+    FieldWriter(fixed).u16(0).u16(0);
     text(login.library);
     text(login.language);
     text(login.database);
     fixed.append(kAfterId - kClientId, '\0');
-    for (int i = 0; i < 3; ++i) Put(fixed).u16(kFixed + data.size()).u16(0);
-    Put(fixed).u32(0);
+    for (int i = 0; i < 3; ++i) FieldWriter(fixed).u16(kFixed + data.size()).u16(0);
+    FieldWriter(fixed).u32(0);
     if (!login.features.empty()) {
         std::string at;
-        Put(at).u16(kFixed + data.size()).u16(4);
+        FieldWriter(at).u16(kFixed + data.size()).u16(4);
         fixed.replace(extension, 4, at);
-        Put(data).u32(kFixed + data.size() + 4);
-        for (const auto& [id, value] : login.features) Put(data).u8(id).u32(value.size()).bytes(value);
-        Put(data).u8(kTerminator);
+        FieldWriter(data).u32(kFixed + data.size() + 4);
+        for (const auto& [id, value] : login.features)
+            FieldWriter(data).u8(id).u32(value.size()).bytes(value);
+        FieldWriter(data).u8(kTerminator);
     }
     auto out = fixed + data;
-    if (out.size() > kMostLogin) throw BadMessage("a login too long for its offsets");
+    if (out.size() > kMostLogin) throw ProtocolError("a login too long for its offsets");
     std::string size;
-    Put(size).u32(out.size());
+    FieldWriter(size).u32(out.size());
     out.replace(0, 4, size);
     return out;
 }
--- a/src/wire/tds/login.h
+++ b/src/wire/tds/login.h
@@ -25,13 +25,13 @@
     // Options that are not read here, by their token; a server ignores those it does not know.
     std::vector<std::uint8_t> others;
 };
-// Throws BadMessage where an option lies outside the message, or the list has no end.
+// Throws ProtocolError where an option lies outside the message, or the list has no end.
 Prelogin read_prelogin(std::string_view payload);
 std::string build_prelogin(const Prelogin& prelogin);
 
 struct Login {
     std::uint32_t version = kVersion74;
-    std::size_t packet_size = kFirstPacket;
+    std::size_t packet_size = kDefaultPacketBytes;
     std::string host, user, app, server, library, language, database;
     // Held no longer than needed and never part of a message or a log.
     std::string password;
@@ -39,8 +39,8 @@
     bool changes_password = false, attaches_file = false;
     std::map<std::uint8_t, std::string> features;  // FEATUREEXT, by id
 };
-// Throws BadMessage where a field lies outside the message, lies within the fixed part, or two overlap; where
-// the version is none of 7.2 to 7.4; and where a text is no UTF-16.
+// Throws ProtocolError where a field lies outside the message, lies within the fixed part, or two overlap;
+// where the version is none of 7.2 to 7.4; and where a text is no UTF-16.
 Login read_login(std::string_view payload);
 std::string build_login(const Login& login);
 
--- a/src/wire/tds/packet.h
+++ b/src/wire/tds/packet.h
@@ -13,12 +13,12 @@
 
 // What cannot be part of the protocol, or is none of what is spoken here. The sentence never holds a
 // password.
-struct BadMessage : std::runtime_error {
+struct ProtocolError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // MS-TDS 2.2.3.1.1. Those that are not named here are refused.
-enum class Type : std::uint8_t {
+enum class PacketType : std::uint8_t {
     batch = 0x01,
     rpc = 0x03,
     result = 0x04,
@@ -27,37 +27,37 @@
     prelogin = 0x12
 };
 namespace status {
-constexpr std::uint8_t last = 0x01;    // of its message
+constexpr std::uint8_t end_of_message = 0x01;  // of its message
 constexpr std::uint8_t ignore = 0x02;  // the message is called off by its sender; only together with last
 constexpr std::uint8_t reset = 0x08, reset_keep_transaction = 0x10;
 }  // namespace status
 
-constexpr std::size_t kHeader = 8;
+constexpr std::size_t kPacketHeaderBytes = 8;
 // Bounds of the size that LOGIN7 may ask for (MS-TDS 2.2.6.4), and what holds until it is agreed on.
-constexpr std::size_t kLeastPacket = 512, kMostPacket = 32767, kFirstPacket = 4096;
+constexpr std::size_t kMinPacketBytes = 512, kMaxPacketBytes = 32767, kDefaultPacketBytes = 4096;
 
-struct Part {
-    Type type = Type::result;
-    std::string_view bytes;  // of the payload, where the caller's bytes stand
-    std::size_t size = 0;    // the whole packet takes, its header included
-    bool last = false, ignored = false, reset = false;
+struct Packet {
+    PacketType type = PacketType::result;
+    std::string_view payload;  // of the payload, where the caller's bytes stand
+    std::size_t size = 0;      // the whole packet takes, its header included
+    bool is_last = false, is_ignored = false, resets_connection = false;
 };
 
 // Cuts packets off the front of bytes. It holds the rules of one direction: packets of a message have one
 // type, and none is longer than was agreed on.
-class Packets {
+class PacketReader {
 public:
-    // The first packet of `bytes`; nothing where it is not whole yet. Throws BadMessage as soon as its header
-    // shows that it is none: nobody waits for the rest. The next call must begin behind it.
-    std::optional<Part> next(std::string_view bytes);
-    void allow(std::size_t packet_size) { most_ = packet_size; }
-    bool amid_message() const { return amid_; }  // its last packet has not come
-    Type type() const { return type_; }          // of the message read last, an attention aside
+    // The first packet of `bytes`; nothing where it is not whole yet. Throws ProtocolError as soon as its
+    // header shows that it is none: nobody waits for the rest. The next call must begin behind it.
+    std::optional<Packet> next(std::string_view bytes);
+    void set_max_packet_size(std::size_t packet_size) { most_ = packet_size; }
+    bool is_inside_message() const { return amid_; }  // its last packet has not come
+    PacketType type() const { return type_; }         // of the message read last, an attention aside
 
 private:
-    std::size_t most_ = kFirstPacket;
+    std::size_t most_ = kDefaultPacketBytes;
     bool amid_ = false;
-    Type type_ = Type::result;
+    PacketType type_ = PacketType::result;
 };
 
 // Writes messages as packets. The payload may be given in parts; each packet but the last of a message is
@@ -65,19 +65,19 @@
 class PacketWriter {
 public:
     explicit PacketWriter(std::string& out) : out_(out) {}
-    void allow(std::size_t packet_size) { size_ = packet_size; }
-    void begin(Type type);
+    void set_packet_size(std::size_t packet_size) { size_ = packet_size; }
+    void begin(PacketType type);
     void write(std::string_view payload);
     void end();  // also of an empty message: a packet without payload
     // All of it.
-    void message(Type type, std::string_view payload) { begin(type), write(payload), end(); }
+    void message(PacketType type, std::string_view payload) { begin(type), write(payload), end(); }
 
 private:
     void flush(bool last);
     std::string& out_;
     std::string held_;
-    std::size_t size_ = kFirstPacket;
-    Type type_ = Type::result;
+    std::size_t size_ = kDefaultPacketBytes;
+    PacketType type_ = PacketType::result;
     std::uint8_t number_ = 1;
 };
 
--- a/src/wire/tds/request.h
+++ b/src/wire/tds/request.h
@@ -22,7 +22,7 @@
     std::uint64_t transaction = 0;
     std::vector<Parameter> parameters;  // of sp_executesql, behind the statement
 };
-// `payload` is a whole message. Throws BadMessage, also where ALL_HEADERS do not fill their length, name a
+// `payload` is a whole message. Throws ProtocolError, also where ALL_HEADERS do not fill their length, name a
 // header twice or ask for several requests at once; and where the call is of another procedure.
 Request read_batch(std::string_view payload);
 Request read_rpc(std::string_view payload);
--- a/src/wire/tds/text.cpp
+++ b/src/wire/tds/text.cpp
@@ -9,7 +9,7 @@
 namespace sloestack::tds {
 
 std::string from_utf16(std::string_view bytes) {
-    if (bytes.size() % 2) throw BadMessage("a text of half a character");
+    if (bytes.size() % 2) throw ProtocolError("a text of half a character");
     std::u16string units(bytes.size() / 2, u'\0');
     for (std::size_t i = 0; i < units.size(); ++i)
         units[i] = static_cast<char16_t>(static_cast<unsigned char>(bytes[2 * i]) |
@@ -20,7 +20,7 @@
         utf8::utf16to8(units.begin(), units.end(), std::back_inserter(out));
         return out;
     } catch (const utf8::exception&) {
-        throw BadMessage("a text with a lone surrogate");
+        throw ProtocolError("a text with a lone surrogate");
     }
 }
 
@@ -30,7 +30,7 @@
     try {
         utf8::utf8to16(text.begin(), text.end(), std::back_inserter(units));
     } catch (const utf8::exception&) {
-        throw BadMessage("a text that is no UTF-8");
+        throw ProtocolError("a text that is no UTF-8");
     }
     std::string out;
     out.reserve(units.size() * 2);
--- a/src/wire/tds/text.h
+++ b/src/wire/tds/text.h
@@ -7,9 +7,9 @@
 
 namespace sloestack::tds {
 
-// Throws BadMessage where `bytes` is of odd length or no UTF-16.
+// Throws ProtocolError where `bytes` is of odd length or no UTF-16.
 std::string from_utf16(std::string_view bytes);
-// Throws BadMessage where `text` is no UTF-8.
+// Throws ProtocolError where `text` is no UTF-8.
 std::string to_utf16(std::string_view text);
 
 }  // namespace sloestack::tds
--- a/src/wire/tds/token.cpp
+++ b/src/wire/tds/token.cpp
@@ -16,8 +16,8 @@
 
 bool has_texts(std::uint8_t change) { return change >= 1 && change <= 6; }
 
-Notice read_notice(Cursor in) {
-    Notice out;
+ErrorOrInfo read_notice(FieldReader in) {
+    ErrorOrInfo out;
     out.number = static_cast<std::int32_t>(in.u32());
     out.state = in.u8();
     out.severity = in.u8();
@@ -25,34 +25,34 @@
     out.server = in.b_varchar();
     out.procedure = in.b_varchar();
     out.line = in.u32();
-    if (!in.empty()) throw BadMessage("a token longer than its fields");
+    if (!in.empty()) throw ProtocolError("a token longer than its fields");
     return out;
 }
 
-Change read_change(Cursor in) {
-    Change out;
+EnvChange read_change(FieldReader in) {
+    EnvChange out;
     out.type = in.u8();
     if (has_texts(out.type)) {
-        out.fresh = in.b_varchar();
-        out.old = in.b_varchar();
-    } else if (out.type == Change::collation) {
-        out.fresh = in.bytes(in.u8());
-        out.old = in.bytes(in.u8());
+        out.new_value = in.b_varchar();
+        out.old_value = in.b_varchar();
+    } else if (out.type == EnvChange::collation) {
+        out.new_value = in.bytes(in.u8());
+        out.old_value = in.bytes(in.u8());
     } else {
         in.bytes(in.rest().size());  // of no concern here; its length is that of the token
     }
-    if (!in.empty()) throw BadMessage("a token longer than its fields");
+    if (!in.empty()) throw ProtocolError("a token longer than its fields");
     return out;
 }
 
-Acknowledged read_acknowledged(Cursor in) {
-    Acknowledged out;
+LoginAck read_acknowledged(FieldReader in) {
+    LoginAck out;
     in.u8();
     // The one number of the stream that is big-endian.
     for (int i = 0; i < 4; ++i) out.version = out.version << 8 | in.u8();
     out.program = in.b_varchar();
     for (int i = 0; i < 4; ++i) out.program_version = out.program_version << 8 | in.u8();
-    if (!in.empty()) throw BadMessage("a token longer than its fields");
+    if (!in.empty()) throw ProtocolError("a token longer than its fields");
     return out;
 }
 
@@ -70,13 +70,13 @@
         std::size_t taken = 0;
         try {
             taken = step(payload);
-        } catch (const Short&) {
+        } catch (const IncompleteInput&) {
         }
         if (taken == 0) break;
         payload.remove_prefix(taken);
     }
-    if (payload.size() > kMostHeld)
-        throw BadMessage("a token of more than " + std::to_string(kMostHeld) + " bytes");
+    if (payload.size() > kMaxBufferedTokenBytes)
+        throw ProtocolError("a token of more than " + std::to_string(kMaxBufferedTokenBytes) + " bytes");
     held_ = std::string(payload);
 }
 
@@ -87,14 +87,14 @@
         case State::values:
             return one_value(bytes);
         case State::chunk_length: {
-            Cursor in(bytes, false);
+            FieldReader in(bytes, false);
             const auto size = in.u32();
             if (size == 0) {
-                if (size_ && *size_ != told_) throw BadMessage("a value that is not as long as it says");
-                events_.value_ends();
+                if (size_ && *size_ != told_) throw ProtocolError("a value that is not as long as it says");
+                events_.end_value();
                 next_column();
             } else {
-                if (size_ && size > *size_ - told_) throw BadMessage("a value longer than it says");
+                if (size_ && size > *size_ - told_) throw ProtocolError("a value longer than it says");
                 chunk_left_ = size;
                 state_ = State::chunk;
             }
@@ -103,7 +103,7 @@
         case State::chunk: {
             const auto part =
                 bytes.substr(0, static_cast<std::size_t>(std::min<std::uint64_t>(chunk_left_, bytes.size())));
-            events_.piece(part);
+            events_.value_chunk(part);
             told_ += part.size();
             chunk_left_ -= part.size();
             if (chunk_left_ == 0) state_ = State::chunk_length;
@@ -114,16 +114,16 @@
 }
 
 std::size_t TokenReader::token(std::string_view bytes) {
-    Cursor in(bytes, false);
+    FieldReader in(bytes, false);
     const auto what = in.u8();
-    const auto body = [&] { return Cursor(in.bytes(in.u16())); };
+    const auto body = [&] { return FieldReader(in.bytes(in.u16())); };
     switch (what) {
         case id::columns:
             columns(in);
             break;
         case id::row:
         case id::row_with_nulls:
-            if (!has_columns_) throw BadMessage("a row before its columns");
+            if (!has_columns_) throw ProtocolError("a row before its columns");
             nulls_ = what == id::row ? std::string() : std::string(in.bytes((columns_.size() + 7) / 8));
             events_.row();
             column_ = static_cast<std::size_t>(-1);
@@ -137,21 +137,22 @@
             events_.info(read_notice(body()));
             break;
         case id::changed:
-            events_.changed(read_change(body()));
+            events_.env_change(read_change(body()));
             break;
         case id::acknowledged:
-            events_.acknowledged(read_acknowledged(body()));
+            events_.login_ack(read_acknowledged(body()));
             break;
         case id::order:
             body();
             break;
         case id::returned:
-            events_.returned(static_cast<std::int32_t>(in.u32()));
+            events_.return_status(static_cast<std::int32_t>(in.u32()));
             break;
         case id::features:
             for (auto feature = in.u8(); feature != 0xff; feature = in.u8()) {
                 const auto size = in.u32();
-                if (size > kMostHeld) throw BadMessage("a feature of " + std::to_string(size) + " bytes");
+                if (size > kMaxBufferedTokenBytes)
+                    throw ProtocolError("a feature of " + std::to_string(size) + " bytes");
                 in.bytes(size);
             }
             break;
@@ -167,16 +168,16 @@
             break;
         }
         default:
-            throw BadMessage("a token that is not known here: " + std::to_string(what));
+            throw ProtocolError("a token that is not known here: " + std::to_string(what));
     }
     return in.taken();
 }
 
-void TokenReader::columns(Cursor& in) {
+void TokenReader::columns(FieldReader& in) {
     const auto count = in.u16();
     std::vector<Column> fresh;
     if (count != kNoMetadata) {
-        if (count > kMostColumns) throw BadMessage("an answer of " + std::to_string(count) + " columns");
+        if (count > kMaxColumns) throw ProtocolError("an answer of " + std::to_string(count) + " columns");
         for (std::size_t i = 0; i < count; ++i) {
             Column c;
             c.user_type = in.u32();
@@ -202,7 +203,7 @@
 }
 
 std::size_t TokenReader::one_value(std::string_view bytes) {
-    Cursor in(bytes, false);
+    FieldReader in(bytes, false);
     const auto& type = columns_[column_].type;
     if (!type.max) {
         const auto value = read_value(in, type);
@@ -219,29 +220,29 @@
     size_.reset();
     if (total != kUnknownLength) size_ = total;
     told_ = 0;
-    events_.value_begins(column_, size_);
+    events_.begin_value(column_, size_);
     state_ = State::chunk_length;
     return in.taken();
 }
 
 // ---- building ----
 TokenBuilder& TokenBuilder::sized(std::uint8_t token, std::string_view body) {
-    Put(out_).u8(token).u16(body.size()).bytes(body);
+    FieldWriter(out_).u8(token).u16(body.size()).bytes(body);
     return *this;
 }
 
 TokenBuilder& TokenBuilder::columns(const std::vector<Column>& columns) {
-    Put(out_).u8(id::columns).u16(columns.size());
+    FieldWriter(out_).u8(id::columns).u16(columns.size());
     for (const auto& c : columns) {
-        Put(out_).u32(c.user_type).u16(c.flags);
+        FieldWriter(out_).u32(c.user_type).u16(c.flags);
         put_type(out_, c.type);
-        Put(out_).b_varchar(c.name);
+        FieldWriter(out_).b_varchar(c.name);
     }
     return *this;
 }
 
 TokenBuilder& TokenBuilder::row() {
-    Put(out_).u8(id::row);
+    FieldWriter(out_).u8(id::row);
     return *this;
 }
 
@@ -249,30 +250,34 @@
     std::string bits((nulls.size() + 7) / 8, '\0');
     for (std::size_t i = 0; i < nulls.size(); ++i)
         if (nulls[i]) bits[i / 8] = static_cast<char>(bits[i / 8] | 1 << (i % 8));
-    Put(out_).u8(id::row_with_nulls).bytes(bits);
+    FieldWriter(out_).u8(id::row_with_nulls).bytes(bits);
     return *this;
 }
 
-TokenBuilder& TokenBuilder::notice_token(std::uint8_t token, const Notice& n) {
+TokenBuilder& TokenBuilder::notice_token(std::uint8_t token, const ErrorOrInfo& n) {
     std::string body;
-    Put(body).u32(static_cast<std::uint32_t>(n.number)).u8(n.state).u8(n.severity);
-    Put(body).us_varchar(n.text, kLongestNotice).b_varchar(n.server).b_varchar(n.procedure).u32(n.line);
+    FieldWriter(body).u32(static_cast<std::uint32_t>(n.number)).u8(n.state).u8(n.severity);
+    FieldWriter(body)
+        .us_varchar(n.text, kLongestNotice)
+        .b_varchar(n.server)
+        .b_varchar(n.procedure)
+        .u32(n.line);
     return sized(token, body);
 }
 
-TokenBuilder& TokenBuilder::changed(const Change& c) {
+TokenBuilder& TokenBuilder::env_change(const EnvChange& c) {
     std::string body;
-    Put(body).u8(c.type);
+    FieldWriter(body).u8(c.type);
     if (has_texts(c.type))
-        Put(body).b_varchar(c.fresh).b_varchar(c.old);
+        FieldWriter(body).b_varchar(c.new_value).b_varchar(c.old_value);
     else
-        Put(body).u8(c.fresh.size()).bytes(c.fresh).u8(c.old.size()).bytes(c.old);
+        FieldWriter(body).u8(c.new_value.size()).bytes(c.new_value).u8(c.old_value.size()).bytes(c.old_value);
     return sized(id::changed, body);
 }
 
-TokenBuilder& TokenBuilder::acknowledged(const Acknowledged& a) {
+TokenBuilder& TokenBuilder::login_ack(const LoginAck& a) {
     std::string body;
-    Put put(body);
+    FieldWriter put(body);
     put.u8(kTsql);
     for (int i = 3; i >= 0; --i) put.u8(a.version >> (8 * i) & 0xff);
     put.b_varchar(a.program);
@@ -280,13 +285,13 @@
     return sized(id::acknowledged, body);
 }
 
-TokenBuilder& TokenBuilder::returned(std::int32_t value) {
-    Put(out_).u8(id::returned).u32(static_cast<std::uint32_t>(value));
+TokenBuilder& TokenBuilder::return_status(std::int32_t value) {
+    FieldWriter(out_).u8(id::returned).u32(static_cast<std::uint32_t>(value));
     return *this;
 }
 
 TokenBuilder& TokenBuilder::done(const Done& d) {
-    Put(out_).u8(static_cast<std::uint8_t>(d.kind)).u16(d.status).u16(d.command).u64(d.rows);
+    FieldWriter(out_).u8(static_cast<std::uint8_t>(d.kind)).u16(d.status).u16(d.command).u64(d.rows);
     return *this;
 }
 
--- a/src/wire/tds/token.h
+++ b/src/wire/tds/token.h
@@ -20,7 +20,7 @@
     std::uint16_t flags = 0;
 };
 // Of an ERROR or an INFO.
-struct Notice {
+struct ErrorOrInfo {
     std::int32_t number = 0;
     std::uint8_t state = 0, severity = 0;
     std::string text, server, procedure;
@@ -36,12 +36,12 @@
 constexpr std::uint16_t more = 0x1, error = 0x2, in_transaction = 0x4, count = 0x10, attention = 0x20,
                         server_error = 0x100;
 }
-struct Change {  // ENVCHANGE
+struct EnvChange {  // ENVCHANGE
     enum Type : std::uint8_t { database = 1, language = 2, packet_size = 4, collation = 7 };
     std::uint8_t type = 0;
-    std::string fresh, old;  // as text where the type has texts, else as bytes
+    std::string new_value, old_value;  // as text where the type has texts, else as bytes
 };
-struct Acknowledged {           // LOGINACK
+struct LoginAck {               // LOGINACK
     std::uint32_t version = 0;  // as LOGIN7 names it
     std::string program;
     std::uint32_t program_version = 0;
@@ -54,14 +54,14 @@
     // A value that is not in chunks.
     virtual void value(std::size_t column, std::optional<std::string_view> bytes) = 0;
     // One in chunks: its size where it is told; pieces follow, and its end.
-    virtual void value_begins(std::size_t column, std::optional<std::uint64_t> size) = 0;
-    virtual void piece(std::string_view bytes) = 0;
-    virtual void value_ends() = 0;
-    virtual void error(const Notice& notice) = 0;
-    virtual void info(const Notice&) {}
-    virtual void changed(const Change&) {}
-    virtual void acknowledged(const Acknowledged&) {}
-    virtual void returned(std::int32_t) {}
+    virtual void begin_value(std::size_t column, std::optional<std::uint64_t> size) = 0;
+    virtual void value_chunk(std::string_view bytes) = 0;
+    virtual void end_value() = 0;
+    virtual void error(const ErrorOrInfo& notice) = 0;
+    virtual void info(const ErrorOrInfo&) {}
+    virtual void env_change(const EnvChange&) {}
+    virtual void login_ack(const LoginAck&) {}
+    virtual void return_status(std::int32_t) {}
     virtual void done(const Done& done) = 0;
 
 protected:
@@ -71,19 +71,21 @@
 class TokenReader {
 public:
     explicit TokenReader(TokenEvents& events) : events_(events) {}
-    // Throws BadMessage at a token or type that is not known here, at lengths that contradict each other or
-    // claim more than may be, and at a row before its columns.
+    // Throws ProtocolError at a token or type that is not known here, at lengths that contradict each other
+    // or claim more than may be, and at a row before its columns.
     void read(std::string_view payload);
     // Whether a token has begun and not ended: an answer that ends here is not whole.
-    bool amid_token() const { return !held_.empty() || state_ != State::token; }
-    std::size_t held() const { return held_.size(); }  // never more than kMostHeld and one payload
+    bool is_inside_token() const { return !held_.empty() || state_ != State::token; }
+    std::size_t buffered_bytes() const {
+        return held_.size();
+    }  // never more than kMaxBufferedTokenBytes and one payload
 
 private:
     enum class State { token, values, chunk_length, chunk };
     std::size_t step(std::string_view bytes);  // bytes taken, 0 where more must come
     std::size_t token(std::string_view bytes);
     std::size_t one_value(std::string_view bytes);
-    void columns(Cursor& in);
+    void columns(FieldReader& in);
     void next_column();
 
     TokenEvents& events_;
@@ -97,7 +99,7 @@
     std::optional<std::uint64_t> size_;
 };
 
-constexpr std::size_t kMostColumns = 1024, kMostHeld = 128 * 1024;
+constexpr std::size_t kMaxColumns = 1024, kMaxBufferedTokenBytes = 128 * 1024;
 
 // Appends tokens to a string.
 class TokenBuilder {
@@ -108,15 +110,15 @@
     TokenBuilder& row();
     TokenBuilder& row_with_nulls(
         const std::vector<bool>& nulls);  // NBCROW: those that are NULL do not follow
-    TokenBuilder& error(const Notice& notice) { return notice_token(0xaa, notice); }
-    TokenBuilder& info(const Notice& notice) { return notice_token(0xab, notice); }
-    TokenBuilder& changed(const Change& change);
-    TokenBuilder& acknowledged(const Acknowledged& a);
-    TokenBuilder& returned(std::int32_t value);
+    TokenBuilder& error(const ErrorOrInfo& notice) { return notice_token(0xaa, notice); }
+    TokenBuilder& info(const ErrorOrInfo& notice) { return notice_token(0xab, notice); }
+    TokenBuilder& env_change(const EnvChange& change);
+    TokenBuilder& login_ack(const LoginAck& a);
+    TokenBuilder& return_status(std::int32_t value);
     TokenBuilder& done(const Done& done);
 
 private:
-    TokenBuilder& notice_token(std::uint8_t token, const Notice& notice);
+    TokenBuilder& notice_token(std::uint8_t token, const ErrorOrInfo& notice);
     TokenBuilder& sized(std::uint8_t token, std::string_view body);
     std::string& out_;
 };
--- a/src/wire/tds/value.cpp
+++ b/src/wire/tds/value.cpp
@@ -31,7 +31,7 @@
 std::uint32_t time_size(std::uint8_t scale) { return scale <= 2 ? 3 : scale <= 4 ? 4 : 5; }
 
 [[noreturn]] void refuse(const char* what, unsigned number) {
-    throw BadMessage(std::string(what) + " " + std::to_string(number));
+    throw ProtocolError(std::string(what) + " " + std::to_string(number));
 }
 
 // Whether a value of that many bytes can be one of the type; 0 stands for NULL where a byte holds the length.
@@ -66,7 +66,7 @@
 }
 bool ColumnType::fixed() const { return fixed_size(id) > 0; }
 
-ColumnType read_type(Cursor& in) {
+ColumnType read_type(FieldReader& in) {
     ColumnType t;
     const auto number = in.u8();
     t.id = static_cast<TypeId>(number);
@@ -143,7 +143,7 @@
 }
 
 void put_type(std::string& out, const ColumnType& t) {
-    Put put(out);
+    FieldWriter put(out);
     put.u8(static_cast<std::uint8_t>(t.id));
     if (t.fixed() || t.id == TypeId::daten) return;
     switch (t.id) {
@@ -164,7 +164,7 @@
     if (t.is_text()) out.append(t.collation.begin(), t.collation.end());
 }
 
-std::optional<std::string> read_value(Cursor& in, const ColumnType& t) {
+std::optional<std::string> read_value(FieldReader& in, const ColumnType& t) {
     if (t.fixed()) return std::string(in.bytes(t.size));
     std::size_t size = 0;
     if (has_short_length(t.id)) {
@@ -177,12 +177,12 @@
     if (!may_be(t, size))
         refuse("a value of a length that its type cannot have:", static_cast<unsigned>(size));
     if ((t.id == TypeId::nvarchar || t.id == TypeId::nchar) && size % 2)
-        throw BadMessage("a text of half a character");
+        throw ProtocolError("a text of half a character");
     return std::string(in.bytes(size));
 }
 
 void put_value(std::string& out, const ColumnType& t, std::optional<std::string_view> value) {
-    Put put(out);
+    FieldWriter put(out);
     if (!t.fixed()) {
         if (has_short_length(t.id))
             put.u16(value ? value->size() : kNullLength);
@@ -192,23 +192,23 @@
     if (value) put.bytes(*value);
 }
 
-std::optional<std::string> read_chunks(Cursor& in, std::size_t most) {
+std::optional<std::string> read_chunks(FieldReader& in, std::size_t most) {
     const auto total = in.u64();
     if (total == kNullChunks) return std::nullopt;
     if (total != kUnknownLength && total > most)
-        throw BadMessage("a value of " + std::to_string(total) + " bytes");
+        throw ProtocolError("a value of " + std::to_string(total) + " bytes");
     std::string out;
     for (auto size = in.u32(); size != 0; size = in.u32()) {
-        if (size > most - out.size()) throw BadMessage("a value longer than it may be");
+        if (size > most - out.size()) throw ProtocolError("a value longer than it may be");
         out.append(in.bytes(size));
     }
     if (total != kUnknownLength && total != out.size())
-        throw BadMessage("a value that is not as long as it says");
+        throw ProtocolError("a value that is not as long as it says");
     return out;
 }
 
 void put_chunks(std::string& out, std::optional<std::string_view> value) {
-    Put put(out);
+    FieldWriter put(out);
     if (!value) return void(put.u64(kNullChunks));
     put.u64(value->size());
     if (!value->empty()) put.u32(value->size()).bytes(*value);
--- a/src/wire/tds/value.h
+++ b/src/wire/tds/value.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "tds/cursor.h"
+#include "tds/fields.h"
 
 namespace sloestack::tds {
 
@@ -50,22 +50,22 @@
     bool is_text() const;
     bool fixed() const;  // a value has no length before it
 };
-// Throws BadMessage naming the number of a type that is not read here, and where size, precision or scale are
-// none that the type can have.
-ColumnType read_type(Cursor& in);
+// Throws ProtocolError naming the number of a type that is not read here, and where size, precision or scale
+// are none that the type can have.
+ColumnType read_type(FieldReader& in);
 void put_type(std::string& out, const ColumnType& type);
 
-// A value that is not in chunks; nothing for NULL. Throws BadMessage where its length is none that its type
-// can have.
-std::optional<std::string> read_value(Cursor& in, const ColumnType& type);
+// A value that is not in chunks; nothing for NULL. Throws ProtocolError where its length is none that its
+// type can have.
+std::optional<std::string> read_value(FieldReader& in, const ColumnType& type);
 void put_value(std::string& out, const ColumnType& type, std::optional<std::string_view> value);
 // One in chunks, whole; at most `most` bytes.
-std::optional<std::string> read_chunks(Cursor& in, std::size_t most);
+std::optional<std::string> read_chunks(FieldReader& in, std::size_t most);
 void put_chunks(std::string& out, std::optional<std::string_view> value);
 
 constexpr std::uint64_t kNullChunks = ~std::uint64_t{0}, kUnknownLength = ~std::uint64_t{0} - 1;
 constexpr std::uint16_t kNullLength = 0xffff, kMaxLength = 0xffff;
-constexpr std::size_t kMostParameter =
+constexpr std::size_t kMaxParameterBytes =
     8 * 1024 * 1024 + 64 * 1024;  // of a statement: as on the PostgreSQL side
 
 }  // namespace sloestack::tds
--- a/tests/integration/proxy_harness.cpp
+++ b/tests/integration/proxy_harness.cpp
@@ -30,7 +30,10 @@
 
 std::string answer_with(const std::string& value) {
     return build([&](auto& builder) {
-        builder.row_description("data", kTextType, true).data_row(value).complete("SELECT 1").ready();
+        builder.row_description("data", kTextType, true)
+            .data_row(value)
+            .command_complete("SELECT 1")
+            .ready_for_query();
     });
 }
 
@@ -71,7 +74,7 @@
 }
 
 std::string startup_message() {
-    return build([](auto& builder) { builder.startup("u", "d"); });
+    return build([](auto& builder) { builder.startup_message("u", "d"); });
 }
 
 ProxyHarness::ProxyHarness(json settings, int descriptors, bool members_known)
@@ -167,8 +170,9 @@
         if (!message || !members_accept_startup) return;
         peer.received.erase(0, message->size);
         started_peers_.insert(&peer);
-        peer.send(
-            build([](auto& builder) { builder.authentication_ok().parameter("role", "replica").ready(); }));
+        peer.send(build([](auto& builder) {
+            builder.authentication_ok().parameter_status("role", "replica").ready_for_query();
+        }));
     }
     while (const auto message = pgwire::next_message(peer.received)) {
         if (message->type == 'Q') receive_query(number, peer, *message);
@@ -177,7 +181,7 @@
 }
 
 void ProxyHarness::receive_query(int member, Peer& peer, const pgwire::Message& message) {
-    const std::string statement(pgwire::Fields(message.body).text());
+    const std::string statement(pgwire::FieldReader(message.body).text());
     const Micros time_left = std::stol(tag(statement, ",d=")) * 1000;
     queries.push_back({member, tag(statement, "id="), clock.now(), time_left});
     pending_queries_[&peer] = queries.back().id;
@@ -287,7 +291,7 @@
         while (const auto message = pgwire::next_message(unread)) {
             if (message->type == 'C' || message->type == 'E') answer_begun = true;
             if (message->type == 'K') {
-                pgwire::Fields fields(message->body);
+                pgwire::FieldReader fields(message->body);
                 cancel_key_.first = fields.int32();
                 cancel_key_.second = fields.int32();
             }
@@ -297,7 +301,7 @@
             }
             unread.remove_prefix(message->size);
         }
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
     }
     return answers;
 }
--- a/tests/integration/scenario_words.cpp
+++ b/tests/integration/scenario_words.cpp
@@ -58,18 +58,19 @@
 }
 
 std::string row_head(std::size_t value_bytes) {
-    return build(
-        [&](auto& builder) { builder.row_description("data", kTextType, true).data_row_head(value_bytes); });
+    return build([&](auto& builder) {
+        builder.row_description("data", kTextType, true).data_row_header(value_bytes);
+    });
 }
 
 std::string unfinished_row(const std::string& value) {
     return build([&](auto& builder) {
-        builder.row_description("data", kTextType, true).data_row(value).complete("SELECT 1");
+        builder.row_description("data", kTextType, true).data_row(value).command_complete("SELECT 1");
     });
 }
 
 std::string row(const std::string& value) {
-    return unfinished_row(value) + build([](auto& builder) { builder.ready(); });
+    return unfinished_row(value) + build([](auto& builder) { builder.ready_for_query(); });
 }
 
 std::string row_longer_than_its_message() {
@@ -88,7 +89,8 @@
 const std::map<std::string, Encoder>& encoders() {
     static const std::map<std::string, Encoder> kEncoders = {
         // clients
-        {"startup", [](auto&) { return build([](auto& builder) { builder.startup("portal", "crm"); }); }},
+        {"startup",
+         [](auto&) { return build([](auto& builder) { builder.startup_message("portal", "crm"); }); }},
         {"ssl", [](auto&) { return from_hex("0000000804d2162f"); }},
         {"empty", [](auto&) { return query(""); }},
         {"bye", [](auto&) { return from_hex("5800000004"); }},
@@ -102,21 +104,29 @@
         // members
         {"up",
          [](auto&) {
-             return build(
-                 [](auto& builder) { builder.authentication_ok().parameter("role", "replica").ready(); });
+             return build([](auto& builder) {
+                 builder.authentication_ok().parameter_status("role", "replica").ready_for_query();
+             });
          }},
-        {"role", [](auto& text) { return build([&](auto& builder) { builder.parameter("role", text); }); }},
+        {"role",
+         [](auto& text) { return build([&](auto& builder) { builder.parameter_status("role", text); }); }},
         {"at",
-         [](auto& text) { return build([&](auto& builder) { builder.parameter("applied_ms", text); }); }},
+         [](auto& text) {
+             return build([&](auto& builder) { builder.parameter_status("applied_ms", text); });
+         }},
         {"row", row},
         {"unready", unfinished_row},
         {"large", [](auto& text) { return row(std::string(std::stoul(text), 'v')); }},
         {"begin", [](auto& text) { return row_head(std::stoul(text)); }},
         {"lie", [](auto&) { return row_longer_than_its_message(); }},
-        {"finish", [](auto&) { return build([](auto& builder) { builder.complete("SELECT 1").ready(); }); }},
+        {"finish",
+         [](auto&) {
+             return build([](auto& builder) { builder.command_complete("SELECT 1").ready_for_query(); });
+         }},
         {"error",
          [](auto& text) {
-             return build([&](auto& builder) { builder.error("ERROR", text, "test").ready(); });
+             return build(
+                 [&](auto& builder) { builder.error_response("ERROR", text, "test").ready_for_query(); });
          }},
         // operators and discovery
         {"call", http_call},
@@ -154,14 +164,14 @@
     return "says:" + body;
 }
 
-std::string error_word(pgwire::Fields& body) {
+std::string error_word(pgwire::FieldReader& body) {
     std::map<char, std::string> fields;
     while (const char field = static_cast<char>(body.byte())) fields[field] = body.text();
     const std::string detail = fields.count('D') ? ":" + fields['D'] : "";
     return "error:" + fields['C'] + detail;
 }
 
-std::string row_word(pgwire::Fields& body) {
+std::string row_word(pgwire::FieldReader& body) {
     body.int16();
     const std::string value(body.bytes(body.int32()));
     if (value.size() + 4 > kLargeValueBytes) return "large:" + std::to_string(value.size());
@@ -170,7 +180,7 @@
 
 // The word for a message; empty for one that scenarios skip.
 std::string word_for(const pgwire::Message& message) {
-    pgwire::Fields body(message.body);
+    pgwire::FieldReader body(message.body);
     switch (message.type) {
         case 'Q':
             return "query:" + std::string(body.text());
--- a/tests/record/conversation_test.cpp
+++ b/tests/record/conversation_test.cpp
@@ -14,12 +14,12 @@
 
 std::string startup() {
     std::string out;
-    pgwire::Builder(out).startup("portal", "crm");
+    pgwire::Builder(out).startup_message("portal", "crm");
     return out;
 }
 std::string greeting() {
     std::string out;
-    pgwire::Builder(out).greeting();
+    pgwire::Builder(out).startup_response();
     return out;
 }
 std::string query(const std::string& statement) {
@@ -35,7 +35,7 @@
 
 std::string refusal() {
     std::string out;
-    pgwire::Builder(out).error("ERROR", "53300", "not now", 40).ready();
+    pgwire::Builder(out).error_response("ERROR", "53300", "not now", 40).ready_for_query();
     return out;
 }
 
@@ -114,7 +114,7 @@
     Talk t;
     t.say(Side::client, startup() + kRead);
     std::string fatal;
-    pgwire::Builder(fatal).error("FATAL", "57P01", "stopping");
+    pgwire::Builder(fatal).error_response("FATAL", "57P01", "stopping");
     t.say(Side::server, greeting() + fatal);
     t.dialect->over(9);
     EXPECT_EQ(t.heard.log.back(), "answered 0 failed 57P01");
@@ -126,7 +126,7 @@
     t.say(Side::server, "N");
     t.say(Side::client, startup() + kRead + query("") + kWrite);
     std::string rest;
-    pgwire::Builder(rest).empty_query().ready();
+    pgwire::Builder(rest).empty_query_response().ready_for_query();
     t.say(Side::server, greeting() + emulator::answer_of("x", false) + rest + refusal());
     const std::vector<std::string> wanted = {"opened " + std::to_string(startup().size()),
                                              "asked 0 1 roster-view  600000 ahead",
--- a/tests/record/tds_dialect_test.cpp
+++ b/tests/record/tds_dialect_test.cpp
@@ -12,10 +12,10 @@
 using namespace sloestack::conversation;
 namespace wire = sloestack::tds;
 
-std::string message(wire::Type type, const std::string& payload, std::size_t packet = 512) {
+std::string message(wire::PacketType type, const std::string& payload, std::size_t packet = 512) {
     std::string out;
     wire::PacketWriter writer(out);
-    writer.allow(packet);
+    writer.set_packet_size(packet);
     writer.message(type, payload);
     return out;
 }
@@ -30,17 +30,17 @@
     return out + done(wire::done::error);
 }
 
-const std::string kPrelogin = message(wire::Type::prelogin, wire::build_prelogin({}));
-const std::string kPreloginAnswer = message(wire::Type::result, wire::build_prelogin({}));
-const std::string kLogin = message(wire::Type::login, wire::build_login({}));
-const std::string kWelcome = message(wire::Type::result, done(0));
-const std::string kAttention = message(wire::Type::attention, "");
-const std::string kAcknowledged = message(wire::Type::result, done(wire::done::attention));
+const std::string kPrelogin = message(wire::PacketType::prelogin, wire::build_prelogin({}));
+const std::string kPreloginAnswer = message(wire::PacketType::result, wire::build_prelogin({}));
+const std::string kLogin = message(wire::PacketType::login, wire::build_login({}));
+const std::string kWelcome = message(wire::PacketType::result, done(0));
+const std::string kAttention = message(wire::PacketType::attention, "");
+const std::string kAcknowledged = message(wire::PacketType::result, done(wire::done::attention));
 const std::string kRead = message(
-    wire::Type::batch,
+    wire::PacketType::batch,
     wire::build_batch("SELECT data FROM facts WHERE code = 'a' /* id=1,c=roster-view,d=600,cluster=0 */"));
 const std::string kWrite = message(
-    wire::Type::rpc,
+    wire::PacketType::rpc,
     wire::build_rpc(
         {"INSERT INTO facts (code, data) VALUES ('a', 0x00) /* id=2,c=shift-change,d=5000,k=kk,cluster=1 */",
          0,
@@ -74,12 +74,13 @@
             t.say(Side::client, kLogin, step);
             t.say(Side::server, kWelcome, step);
             t.say(Side::client, kRead, step);
-            t.say(Side::server, message(wire::Type::result, payload, packet), step);
+            t.say(Side::server, message(wire::PacketType::result, payload, packet), step);
             t.say(Side::client, kWrite, step);
-            t.say(Side::server, message(wire::Type::result, error(40501, "busy: come again after 40 ms")),
-                  step);
+            t.say(Side::server,
+                  message(wire::PacketType::result, error(40501, "busy: come again after 40 ms")), step);
             t.say(Side::client, kRead, step);
-            t.say(Side::server, message(wire::Type::result, error(40197, "no member has answered")), step);
+            t.say(Side::server, message(wire::PacketType::result, error(40197, "no member has answered")),
+                  step);
             EXPECT_EQ(t.heard.log, wanted) << step;
             ASSERT_EQ(t.heard.digests.size(), 3u);
             // Where packets end is no part of the answer.
@@ -89,7 +90,7 @@
 }
 
 TEST(TdsDialect, ACutAtAnyByteIsNamed) {
-    const auto answer = message(wire::Type::result, emulator::tds_answer_of(std::string(900, 'v')));
+    const auto answer = message(wire::PacketType::result, emulator::tds_answer_of(std::string(900, 'v')));
     for (std::size_t n = 1; n < kRead.size(); ++n) {
         Session t;
         t.say(Side::client, kRead.substr(0, n));
@@ -129,27 +130,27 @@
         t.say(Side::client, kRead);
         const auto part = row.substr(0, row.size() - 13);
         t.say(Side::client, kAttention);
-        t.say(Side::server, message(wire::Type::result, part + done(wire::done::attention)));
+        t.say(Side::server, message(wire::PacketType::result, part + done(wire::done::attention)));
         EXPECT_EQ(t.heard.log.back(), "answered 0 called off ");
         t.say(Side::client, kRead);
-        t.say(Side::server, message(wire::Type::result, row));
+        t.say(Side::server, message(wire::PacketType::result, row));
         EXPECT_EQ(t.heard.log.back(), "answered 1 served ");
     }
     {  // after the answer has left: both come, the answer counts
         Session t;
         t.say(Side::client, kRead + kAttention);
-        t.say(Side::server, message(wire::Type::result, row) + kAcknowledged);
+        t.say(Side::server, message(wire::PacketType::result, row) + kAcknowledged);
         EXPECT_EQ(t.heard.log.back(), "answered 0 served ");
         t.say(Side::client, kRead);
-        t.say(Side::server, message(wire::Type::result, row));
+        t.say(Side::server, message(wire::PacketType::result, row));
         EXPECT_EQ(t.heard.log.back(), "answered 1 served ");
     }
     {  // before the batch's last packet, which then calls the batch off
         Session t;
-        const auto large = message(wire::Type::batch, wire::build_batch(std::string(600, 'x')));
+        const auto large = message(wire::PacketType::batch, wire::build_batch(std::string(600, 'x')));
         t.say(Side::client, large.substr(0, 512) + kAttention);
-        std::string last = {1, static_cast<char>(wire::status::last | wire::status::ignore), 0, 8, 0, 0, 2,
-                            0};
+        std::string last = {
+            1, static_cast<char>(wire::status::end_of_message | wire::status::ignore), 0, 8, 0, 0, 2, 0};
         t.say(Side::client, last);
         t.say(Side::server, kAcknowledged);
         EXPECT_TRUE(t.heard.log.empty());
@@ -168,7 +169,7 @@
     t.say(Side::client, std::string("\x16\x03\x01\x02\x00", 5));
     EXPECT_NE(t.heard.log.back().find("a packet of type 22"), std::string::npos);
     Session u;
-    u.say(Side::server, message(wire::Type::result, done(0)));
+    u.say(Side::server, message(wire::PacketType::result, done(0)));
     EXPECT_NE(u.heard.log.back().find("an answer that nobody asked for"), std::string::npos);
     Talk v(tds());
     v.say(Side::client, kRead);
@@ -180,7 +181,7 @@
                                 kWrite,
                                 kAttention,
                                 kWelcome,
-                                message(wire::Type::result, emulator::tds_answer_of("v"))};
+                                message(wire::PacketType::result, emulator::tds_answer_of("v"))};
     for (int i = 0; i < 3000; ++i) {
         Session s;
         for (int part = 0; part < 6; ++part) {
--- a/tests/tds/tds_test.cpp
+++ b/tests/tds/tds_test.cpp
@@ -11,7 +11,7 @@
 using namespace sloestack::tds;
 
 std::string packet(std::uint8_t type, std::uint8_t status, std::string_view payload) {
-    const auto size = payload.size() + kHeader;
+    const auto size = payload.size() + kPacketHeaderBytes;
     std::string out = {static_cast<char>(type),
                        static_cast<char>(status),
                        static_cast<char>(size >> 8),
@@ -28,20 +28,20 @@
     for (const std::size_t size : {0u, 1u, 503u, 504u, 505u, 1008u, 5000u}) {
         std::string out;
         PacketWriter writer(out);
-        writer.allow(512);
+        writer.set_packet_size(512);
         const std::string payload(size, 'p');
-        writer.message(Type::batch, payload);
-        Packets reader;
+        writer.message(PacketType::batch, payload);
+        PacketReader reader;
         std::string_view left = out;
         std::string got;
         int parts = 0;
         bool last = false;
         while (const auto part = reader.next(left)) {
-            got += part->bytes;
+            got += part->payload;
             left.remove_prefix(part->size);
-            EXPECT_EQ(part->type, Type::batch);
+            EXPECT_EQ(part->type, PacketType::batch);
             EXPECT_FALSE(last);
-            last = part->last;
+            last = part->is_last;
             ++parts;
         }
         EXPECT_EQ(got, payload);
@@ -53,46 +53,46 @@
 
 TEST(TdsPacket, WhatIsNoneIsTurnedAwayAtItsHeader) {
     const auto bad = [](std::string_view bytes) {
-        Packets p;
-        EXPECT_THROW(p.next(bytes), BadMessage);
+        PacketReader p;
+        EXPECT_THROW(p.next(bytes), ProtocolError);
     };
-    bad(std::string_view("\x01\x01\x00\x00", 4));  // size 0
-    bad(std::string_view("\x01\x01\x00\x07", 4));  // shorter than the header
-    bad(std::string_view("\x01\x01\x10\x01", 4));  // longer than what holds before the login
-    bad(std::string_view("\x07", 1));              // bulk load
-    bad(std::string_view("\x16\x03\x01", 3));      // TLS
-    bad(packet(0x01, status::ignore, "x"));        // called off, but not the last
-    bad(packet(0x06, status::last, "x"));          // an attention with a payload
-    Packets p;
+    bad(std::string_view("\x01\x01\x00\x00", 4));    // size 0
+    bad(std::string_view("\x01\x01\x00\x07", 4));    // shorter than the header
+    bad(std::string_view("\x01\x01\x10\x01", 4));    // longer than what holds before the login
+    bad(std::string_view("\x07", 1));                // bulk load
+    bad(std::string_view("\x16\x03\x01", 3));        // TLS
+    bad(packet(0x01, status::ignore, "x"));          // called off, but not the last
+    bad(packet(0x06, status::end_of_message, "x"));  // an attention with a payload
+    PacketReader p;
     EXPECT_FALSE(p.next(std::string_view("\x01\x01\x00", 3)));
     EXPECT_FALSE(p.next(packet(0x01, 1, "abc").substr(0, 10)));
-    p.allow(32767);
+    p.set_max_packet_size(32767);
     EXPECT_FALSE(p.next(std::string_view("\x01\x01\x10\x01", 4)));
 }
 
 TEST(TdsPacket, OnlyAnAttentionMayComeAmidAMessage) {
-    Packets p;
+    PacketReader p;
     ASSERT_TRUE(p.next(packet(0x01, 0, "ab")));
-    EXPECT_TRUE(p.amid_message());
-    const auto attention = p.next(packet(0x06, status::last, ""));
+    EXPECT_TRUE(p.is_inside_message());
+    const auto attention = p.next(packet(0x06, status::end_of_message, ""));
     ASSERT_TRUE(attention);
-    EXPECT_EQ(attention->type, Type::attention);
-    EXPECT_TRUE(p.amid_message());
-    EXPECT_THROW(p.next(packet(0x03, 1, "x")), BadMessage);
-    const auto last = p.next(packet(0x01, status::last | status::ignore, ""));
+    EXPECT_EQ(attention->type, PacketType::attention);
+    EXPECT_TRUE(p.is_inside_message());
+    EXPECT_THROW(p.next(packet(0x03, 1, "x")), ProtocolError);
+    const auto last = p.next(packet(0x01, status::end_of_message | status::ignore, ""));
     ASSERT_TRUE(last);
-    EXPECT_TRUE(last->ignored);
-    EXPECT_FALSE(p.amid_message());
+    EXPECT_TRUE(last->is_ignored);
+    EXPECT_FALSE(p.is_inside_message());
 }
 
 // ---- text ----
 TEST(TdsText, IsExactOrRefused) {
     for (const std::string text : {"", "plain", "\xc3\xa4\xe2\x82\xac", "\xf0\x9f\x8d\x92"})
         EXPECT_EQ(from_utf16(to_utf16(text)), text);
-    EXPECT_THROW(from_utf16("abc"), BadMessage);
-    EXPECT_THROW(from_utf16(std::string_view("\x00\xd8", 2)), BadMessage);
-    EXPECT_THROW(from_utf16(std::string_view("\x00\xdc\x00\xd8", 4)), BadMessage);
-    EXPECT_THROW(to_utf16("\xff"), BadMessage);
+    EXPECT_THROW(from_utf16("abc"), ProtocolError);
+    EXPECT_THROW(from_utf16(std::string_view("\x00\xd8", 2)), ProtocolError);
+    EXPECT_THROW(from_utf16(std::string_view("\x00\xdc\x00\xd8", 4)), ProtocolError);
+    EXPECT_THROW(to_utf16("\xff"), ProtocolError);
 }
 
 // ---- login ----
@@ -135,16 +135,17 @@
         for (const auto b : bytes) out[at++] = static_cast<char>(b);
         return out;
     };
-    EXPECT_THROW(read_login(good.substr(0, 93)), BadMessage);
-    EXPECT_THROW(read_login(good.substr(0, good.size() - 1)), BadMessage);
-    EXPECT_THROW(read_login(good + "x"), BadMessage);
-    EXPECT_THROW(read_login(with(40, {0, 0})), BadMessage);        // the user's name in the fixed part
-    EXPECT_THROW(read_login(with(40, {0xff, 0xff})), BadMessage);  // outside
-    EXPECT_THROW(read_login(with(42, {0x7f, 0})), BadMessage);     // longer than what is left
-    EXPECT_THROW(read_login(with(42, {0xff, 0xff})), BadMessage);  // longer than a name may be
-    EXPECT_THROW(read_login(with(44, {good[40], good[41]})), BadMessage);  // the password in the user's name
-    EXPECT_THROW(read_login(with(4, {0, 0, 0, 0x71})), BadMessage);        // version 7.1
-    EXPECT_THROW(read_login(with(56, {0xff, 0x7f, 4, 0})), BadMessage);
+    EXPECT_THROW(read_login(good.substr(0, 93)), ProtocolError);
+    EXPECT_THROW(read_login(good.substr(0, good.size() - 1)), ProtocolError);
+    EXPECT_THROW(read_login(good + "x"), ProtocolError);
+    EXPECT_THROW(read_login(with(40, {0, 0})), ProtocolError);        // the user's name in the fixed part
+    EXPECT_THROW(read_login(with(40, {0xff, 0xff})), ProtocolError);  // outside
+    EXPECT_THROW(read_login(with(42, {0x7f, 0})), ProtocolError);     // longer than what is left
+    EXPECT_THROW(read_login(with(42, {0xff, 0xff})), ProtocolError);  // longer than a name may be
+    EXPECT_THROW(read_login(with(44, {good[40], good[41]})),
+                 ProtocolError);                                        // the password in the user's name
+    EXPECT_THROW(read_login(with(4, {0, 0, 0, 0x71})), ProtocolError);  // version 7.1
+    EXPECT_THROW(read_login(with(56, {0xff, 0x7f, 4, 0})), ProtocolError);
     // No byte of it may be more than an error, whatever it is.
     emulator::Random random(4);
     for (int i = 0; i < 20'000; ++i) {
@@ -152,7 +153,7 @@
         for (int k = 0; k < 3; ++k) bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
         try {
             read_login(bytes);
-        } catch (const BadMessage& error) {
+        } catch (const ProtocolError& error) {
             EXPECT_EQ(std::string(error.what()).find("cret"), std::string::npos);
         }
     }
@@ -171,11 +172,11 @@
     EXPECT_EQ(got.instance, "i");
     EXPECT_TRUE(got.mars);
     for (std::size_t n = 0; n < bytes.size(); ++n)
-        EXPECT_THROW(read_prelogin(bytes.substr(0, n)), BadMessage) << n;
-    EXPECT_THROW(read_prelogin(std::string_view("\x16\x03\x01\x00\x05\xff", 6)), BadMessage);
+        EXPECT_THROW(read_prelogin(bytes.substr(0, n)), ProtocolError) << n;
+    EXPECT_THROW(read_prelogin(std::string_view("\x16\x03\x01\x00\x05\xff", 6)), ProtocolError);
     auto bad = bytes;
     bad[21 + 6] = 9;  // a word on encryption that is none
-    EXPECT_THROW(read_prelogin(bad), BadMessage);
+    EXPECT_THROW(read_prelogin(bad), ProtocolError);
 }
 
 // ---- requests ----
@@ -208,21 +209,22 @@
         out[at] = static_cast<char>(byte);
         return out;
     };
-    EXPECT_THROW(read_batch(""), BadMessage);
-    EXPECT_THROW(read_batch(with(0, 3)), BadMessage);     // headers shorter than their own length
-    EXPECT_THROW(read_batch(with(0, 0xff)), BadMessage);  // longer than the message
-    EXPECT_THROW(read_batch(with(4, 5)), BadMessage);     // a header shorter than its head
-    EXPECT_THROW(read_batch(with(4, 19)), BadMessage);    // one that runs past the headers
-    EXPECT_THROW(read_batch(with(8, 9)), BadMessage);     // of an unknown type
-    EXPECT_THROW(read_batch(with(8, 1)), BadMessage);     // no transaction header at all
-    EXPECT_THROW(read_batch(with(18, 2)), BadMessage);    // two requests at once
-    EXPECT_THROW(read_batch(good + "x"), BadMessage);     // half a character
+    EXPECT_THROW(read_batch(""), ProtocolError);
+    EXPECT_THROW(read_batch(with(0, 3)), ProtocolError);     // headers shorter than their own length
+    EXPECT_THROW(read_batch(with(0, 0xff)), ProtocolError);  // longer than the message
+    EXPECT_THROW(read_batch(with(4, 5)), ProtocolError);     // a header shorter than its head
+    EXPECT_THROW(read_batch(with(4, 19)), ProtocolError);    // one that runs past the headers
+    EXPECT_THROW(read_batch(with(8, 9)), ProtocolError);     // of an unknown type
+    EXPECT_THROW(read_batch(with(8, 1)), ProtocolError);     // no transaction header at all
+    EXPECT_THROW(read_batch(with(18, 2)), ProtocolError);    // two requests at once
+    EXPECT_THROW(read_batch(good + "x"), ProtocolError);     // half a character
     auto other = build_rpc({"SELECT 1", 0, {}});
     other[24] = 11;
-    EXPECT_THROW(read_rpc(other), BadMessage);
+    EXPECT_THROW(read_rpc(other), ProtocolError);
     const auto call = build_rpc({"SELECT 1", 0, {}});
-    for (std::size_t n = 0; n < call.size(); ++n) EXPECT_THROW(read_rpc(call.substr(0, n)), BadMessage) << n;
-    EXPECT_THROW(read_rpc(call + "\xff"), BadMessage);
+    for (std::size_t n = 0; n < call.size(); ++n)
+        EXPECT_THROW(read_rpc(call.substr(0, n)), ProtocolError) << n;
+    EXPECT_THROW(read_rpc(call + "\xff"), ProtocolError);
 }
 
 // ---- values and tokens ----
@@ -238,23 +240,25 @@
     void value(std::size_t c, std::optional<std::string_view> b) override {
         log.push_back("value " + std::to_string(c) + " " + (b ? std::string(*b) : "NULL"));
     }
-    void value_begins(std::size_t c, std::optional<std::uint64_t> size) override {
+    void begin_value(std::size_t c, std::optional<std::uint64_t> size) override {
         log.push_back("begins " + std::to_string(c) + " " + (size ? std::to_string(*size) : "?"));
         chunks.clear();
     }
-    void piece(std::string_view b) override { chunks += b; }
-    void value_ends() override { log.push_back("ends " + std::to_string(chunks.size())); }
-    void error(const Notice& n) override {
+    void value_chunk(std::string_view b) override { chunks += b; }
+    void end_value() override { log.push_back("ends " + std::to_string(chunks.size())); }
+    void error(const ErrorOrInfo& n) override {
         log.push_back("error " + std::to_string(n.number) + " " + n.text);
     }
-    void info(const Notice& n) override { log.push_back("info " + std::to_string(n.number) + " " + n.text); }
-    void changed(const Change& c) override {
-        log.push_back("changed " + std::to_string(c.type) + " " + c.fresh);
+    void info(const ErrorOrInfo& n) override {
+        log.push_back("info " + std::to_string(n.number) + " " + n.text);
     }
-    void acknowledged(const Acknowledged& a) override {
+    void env_change(const EnvChange& c) override {
+        log.push_back("changed " + std::to_string(c.type) + " " + c.new_value);
+    }
+    void login_ack(const LoginAck& a) override {
         log.push_back("acknowledged " + std::to_string(a.version) + " " + a.program);
     }
-    void returned(std::int32_t v) override { log.push_back("returned " + std::to_string(v)); }
+    void return_status(std::int32_t v) override { log.push_back("returned " + std::to_string(v)); }
     void done(const Done& d) override {
         log.push_back("done " + std::to_string(d.status) + " " + std::to_string(d.rows));
     }
@@ -305,7 +309,7 @@
 std::string whole_answer(std::vector<std::string>& wanted) {
     std::string out;
     TokenBuilder build(out);
-    build.acknowledged({kVersion74, "sloestack", 1}).changed({Change::packet_size, "8192", "4096"});
+    build.login_ack({kVersion74, "sloestack", 1}).env_change({EnvChange::packet_size, "8192", "4096"});
     build.info({5701, 2, 0, "changed database", "s", "p", 7});
     std::vector<Column> columns;
     for (const auto& [type, value] : kTypes)
@@ -333,7 +337,7 @@
         if (!nulls[i]) put_value(out, kTypes[i].first, kTypes[i].second);
         wanted.push_back("value " + std::to_string(i) + " " + (nulls[i] ? "NULL" : kTypes[i].second));
     }
-    build.returned(-3)
+    build.return_status(-3)
         .error({50001, 1, 16, "not now", "", "", 1})
         .done({Done::Kind::batch, done::error | done::count, 0, 2});
     wanted.insert(wanted.end(), {"returned -3", "error 50001 not now", "done 18 2"});
@@ -350,34 +354,34 @@
         for (std::size_t at = 0; at < bytes.size(); at += step)
             reader.read(std::string_view(bytes).substr(at, step));
         EXPECT_EQ(heard.log, wanted) << "step " << step;
-        EXPECT_FALSE(reader.amid_token());
+        EXPECT_FALSE(reader.is_inside_token());
     }
     // Wherever it ends short of its last byte, it is not whole: amid a token, or without its last one.
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         Heard heard;
         TokenReader reader(heard);
         reader.read(std::string_view(bytes).substr(0, n));
-        EXPECT_TRUE(reader.amid_token() || heard.log.empty() || heard.log.back() != wanted.back());
+        EXPECT_TRUE(reader.is_inside_token() || heard.log.empty() || heard.log.back() != wanted.back());
     }
 }
 
 TEST(TdsToken, ALargeValuePassesWithoutBeingHeld) {
     std::string out;
     TokenBuilder(out).columns({{"data", type_of(TypeId::varbinary, kMaxLength), 0, 0}}).row();
-    Put(out).u64(kUnknownLength);
+    FieldWriter(out).u64(kUnknownLength);
     std::string value;
     for (int i = 0; i < 500; ++i) {
         const std::string chunk(8000 + static_cast<std::size_t>(i), static_cast<char>(i));
-        Put(out).u32(chunk.size()).bytes(chunk);
+        FieldWriter(out).u32(chunk.size()).bytes(chunk);
         value += chunk;
     }
-    Put(out).u32(0);
+    FieldWriter(out).u32(0);
     TokenBuilder(out).done({});
     Heard heard;
     TokenReader reader(heard);
     for (std::size_t at = 0; at < out.size(); at += 4088) {
         reader.read(std::string_view(out).substr(at, 4088));
-        ASSERT_LT(reader.held(), 100u);
+        ASSERT_LT(reader.buffered_bytes(), 100u);
     }
     EXPECT_EQ(heard.chunks, value);
     EXPECT_EQ(heard.log.back(), "done 0 0");
@@ -387,7 +391,7 @@
     const auto refused = [](const std::string& bytes) {
         Heard heard;
         TokenReader reader(heard);
-        EXPECT_THROW(reader.read(bytes), BadMessage);
+        EXPECT_THROW(reader.read(bytes), ProtocolError);
     };
     refused("\x01");                  // an unknown token
     refused(std::string("\xd1", 1));  // a row before its columns
@@ -407,13 +411,13 @@
     refused(column(type_of(TypeId::nvarchar, 10)) + std::string("\3\0abc", 5));
     const auto large = column(type_of(TypeId::varbinary, kMaxLength));
     std::string three;
-    Put(three).u64(3).u32(0xc0000000);  // a chunk of 3 GB in a value of three bytes
+    FieldWriter(three).u64(3).u32(0xc0000000);  // a chunk of 3 GB in a value of three bytes
     refused(large + three);
     std::string less;
-    Put(less).u64(3).u32(1).bytes("x").u32(0);
+    FieldWriter(less).u64(3).u32(1).bytes("x").u32(0);
     refused(large + less);
     std::string feature("\xae\1", 2);
-    Put(feature).u32(0xc0000000);
+    FieldWriter(feature).u32(0xc0000000);
     refused(feature);
     std::string notice;
     TokenBuilder(notice).error({1, 1, 16, "text", "", "", 1});
@@ -421,19 +425,19 @@
     refused(notice);
     // One in chunks that never ends: nothing is held, and the answer is not whole.
     std::string endless;
-    Put(endless).u64(kUnknownLength).u32(0xffffffff);
+    FieldWriter(endless).u64(kUnknownLength).u32(0xffffffff);
     Heard heard;
     TokenReader reader(heard);
     reader.read(large + endless);
     for (int i = 0; i < 1000; ++i) reader.read(std::string(4088, 'x'));
-    EXPECT_TRUE(reader.amid_token());
-    EXPECT_EQ(reader.held(), 0u);
+    EXPECT_TRUE(reader.is_inside_token());
+    EXPECT_EQ(reader.buffered_bytes(), 0u);
     EXPECT_THROW(
         {
-            Cursor in(endless);
+            FieldReader in(endless);
             read_chunks(in, 1000);
         },
-        BadMessage);
+        ProtocolError);
 }
 
 TEST(TdsToken, AnyBytesEndInAnErrorAtWorst) {
@@ -450,9 +454,9 @@
             const auto step = static_cast<std::size_t>(random.between(1, 200));
             for (std::size_t at = 0; at < bytes.size(); at += step) {
                 reader.read(std::string_view(bytes).substr(at, step));
-                ASSERT_LE(reader.held(), kMostHeld + step);
+                ASSERT_LE(reader.buffered_bytes(), kMaxBufferedTokenBytes + step);
             }
-        } catch (const BadMessage&) {
+        } catch (const ProtocolError&) {
         }
     }
 }
--- a/tests/upstream/postgres_reply_test.cpp
+++ b/tests/upstream/postgres_reply_test.cpp
@@ -42,11 +42,11 @@
     pgwire::Builder(bytes)
         .row_description("data", 17, true)
         .data_row("v")
-        .complete("SELECT 1")
-        .parameter("role", "primary")
-        .parameter("applied_ms", "1767225600123")
-        .parameter("load", "x0=1767225600.5,x1=0,active=7")
-        .ready();
+        .command_complete("SELECT 1")
+        .parameter_status("role", "primary")
+        .parameter_status("applied_ms", "1767225600123")
+        .parameter_status("load", "x0=1767225600.5,x1=0,active=7")
+        .ready_for_query();
     auto r = reply_to(bytes, whole);
     ASSERT_TRUE(whole && r.response().outcome == Outcome::ok && r.response().value->bytes == "v" &&
                 r.response().value->type == 17);
@@ -75,7 +75,7 @@
                                         {"XX000", Outcome::error},
                                         {"08P01", Outcome::error}}) {
         bytes.clear();
-        pgwire::Builder(bytes).error("ERROR", code, "x").ready();
+        pgwire::Builder(bytes).error_response("ERROR", code, "x").ready_for_query();
         ASSERT_TRUE(reply_to(bytes, whole).response().outcome == outcome && whole);
     }
 }
@@ -85,14 +85,14 @@
     bool whole = false;
     // An end without a row serves nothing: guards against an answer that no member made.
     bytes.clear();
-    pgwire::Builder(bytes).complete("SELECT 0").ready();
+    pgwire::Builder(bytes).command_complete("SELECT 0").ready_for_query();
     ASSERT_TRUE(reply_to(bytes, whole).response().outcome == Outcome::error);
     bytes.clear();
     pgwire::Builder(bytes).row_description("data", 17, true).data_row("v");
     ASSERT_TRUE(!reply_to(bytes, whole).response().outcome && !whole);
     bytes.clear();
-    pgwire::Builder(bytes).ready();
-    ASSERT_THROW(static_cast<void>(reply_to(bytes, whole)), pgwire::BadMessage);
+    pgwire::Builder(bytes).ready_for_query();
+    ASSERT_THROW(static_cast<void>(reply_to(bytes, whole)), pgwire::ProtocolError);
 }
 
 TEST(PostgresReply, RejectsByTypeOrLengthBeforeTheRestIsThere) {
@@ -103,7 +103,7 @@
           row("D\xc0\0\0\0", 5), row("D\0\x60\0\0", 5), row("D\0\0\0\xb\0\1\0\0\0\2v", 12),
           row("D\0\0\0\xb\0\1\0\0\0\0v", 12), row("D\0\0\0\xb\0\1\xff\xff\xff\xffv", 12),
           row("D\0\0\0\xb\0\1\0\0\0\1vD", 13), row("C\0\0\0\6a\0Z\0\0\0\5x", 13)})
-        ASSERT_THROW(static_cast<void>(reply_to(bad, whole)), pgwire::BadMessage);
+        ASSERT_THROW(static_cast<void>(reply_to(bad, whole)), pgwire::ProtocolError);
 }
 
 TEST(PostgresReply, ChecksTheLengthsInTheHeadOfALargeRow) {
@@ -115,11 +115,11 @@
     };
     ASSERT_TRUE(begun(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa0", 11), 100'011) == 100'000);
     ASSERT_THROW(static_cast<void>(begun(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa1", 11), 100'011)),
-                 pgwire::BadMessage);
+                 pgwire::ProtocolError);
     ASSERT_THROW(static_cast<void>(begun(std::string("D\0\1\x86\xaa\0\2\0\1\x86\xa0", 11), 100'011)),
-                 pgwire::BadMessage);
+                 pgwire::ProtocolError);
     ASSERT_THROW(static_cast<void>(begun(std::string("D\0\1\x86\xaa\0\1\xff\xff\xff\xff", 11), 100'011)),
-                 pgwire::BadMessage);
+                 pgwire::ProtocolError);
 }
 
 TEST(PostgresReply, SurvivesRandomMessages) {
@@ -128,7 +128,7 @@
         const auto body = random_bytes(random, random() % 40);
         try {
             postgres::ReplyParser().read({"STDCEINZR"[random() % 9], body, body.size()});
-        } catch (const pgwire::BadMessage&) {
+        } catch (const pgwire::ProtocolError&) {
         }
     }
 }
--- a/tests/wire/http_test.cpp
+++ b/tests/wire/http_test.cpp
@@ -46,7 +46,7 @@
           std::string("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"),
           std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n")}) {
         http::ResponseParser p;
-        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::BadResponse);
+        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::ResponseError);
     }
 }
 
@@ -56,7 +56,7 @@
         http::ResponseParser p;
         try {
             p.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + random_bytes(random, 100));
-        } catch (const http::BadResponse&) {
+        } catch (const http::ResponseError&) {
         }
     }
 }
@@ -84,14 +84,14 @@
           std::string("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
           std::string("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")}) {
         http::RequestParser p;
-        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::BadRequest);
+        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::RequestError);
     }
 }
 
 TEST(HttpRequest, RejectsAnIncompletePercentEscape) {
     http::RequestParser odd;
     odd.feed("GET /?id=%4 HTTP/1.0\n\n");
-    ASSERT_THROW(static_cast<void>(odd.parameter("id")), http::BadRequest);
+    ASSERT_THROW(static_cast<void>(odd.parameter("id")), http::RequestError);
 }
 
 TEST(HttpRequest, SurvivesRandomInput) {
@@ -101,7 +101,7 @@
         try {
             p.feed("GET / HTTP/1.1\r\n" + random_bytes(random, 50));
             p.feed(random_bytes(random, 50));
-        } catch (const http::BadRequest&) {
+        } catch (const http::RequestError&) {
         }
     }
 }
--- a/tests/wire/pgwire_test.cpp
+++ b/tests/wire/pgwire_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(PgwireFrame, NextMessageWaitsForTheWholeMessage) {
     std::string bytes;
-    pgwire::Builder(bytes).query("SELECT 1").ready();
+    pgwire::Builder(bytes).query("SELECT 1").ready_for_query();
     for (std::size_t i = 0; i < 14; ++i) ASSERT_TRUE(!pgwire::next_message(bytes.substr(0, i)));
     const auto m = pgwire::next_message(bytes);
     ASSERT_TRUE(m && m->type == 'Q' && m->size == 14);
@@ -26,11 +26,11 @@
 }
 
 TEST(PgwireFrame, RejectsImpossibleLengths) {
-    ASSERT_THROW(static_cast<void>(pgwire::next_message(std::string("Q\0\0\0\3", 5))), pgwire::BadMessage);
+    ASSERT_THROW(static_cast<void>(pgwire::next_message(std::string("Q\0\0\0\3", 5))), pgwire::ProtocolError);
     // Refused by its length alone: guards against waiting for, and keeping, what is too large.
-    ASSERT_THROW(static_cast<void>(pgwire::next_message("Q\x7f\xff\xff\xff")), pgwire::BadMessage);
-    ASSERT_THROW(static_cast<void>(pgwire::next_startup(std::string("\0\1\0\0", 4))), pgwire::BadMessage);
-    ASSERT_THROW(static_cast<void>(pgwire::read_startup(std::string("\0\2\0\0", 4))), pgwire::BadMessage);
+    ASSERT_THROW(static_cast<void>(pgwire::next_message("Q\x7f\xff\xff\xff")), pgwire::ProtocolError);
+    ASSERT_THROW(static_cast<void>(pgwire::next_startup(std::string("\0\1\0\0", 4))), pgwire::ProtocolError);
+    ASSERT_THROW(static_cast<void>(pgwire::read_startup(std::string("\0\2\0\0", 4))), pgwire::ProtocolError);
 }
 
 TEST(PgwireFrame, ReadsTheMinorProtocolVersion) {
@@ -39,9 +39,10 @@
 
 TEST(PgwireStatement, ReadsTagsAndReplacesTheTimeLeft) {
     const auto t = pgwire::read_tags(kStatement);
-    ASSERT_TRUE(t.id == "9b" && t.request_class == "view" && t.left_ms == 480 && t.cluster == 2 && t.repeat);
-    ASSERT_TRUE(t.quoted == "7f/*" && t.key == "5c" && t.after_ms == 1767225600123);
-    const traffic::Statement s{kStatement, t.left_at, t.left_size};
+    ASSERT_TRUE(t.id == "9b" && t.request_class == "view" && t.time_left_ms == 480 && t.cluster == 2 &&
+                t.is_retry);
+    ASSERT_TRUE(t.first_literal == "7f/*" && t.key == "5c" && t.after_ms == 1767225600123);
+    const traffic::Statement s{kStatement, t.time_left_offset, t.time_left_size};
     ASSERT_TRUE(s.with_time_left(12'345) == std::string(kStatement).replace(kStatement.find("480"), 3, "12"));
     ASSERT_TRUE(s.with_time_left(-1) == std::string(kStatement).replace(kStatement.find("480"), 3, "1"));
 }
@@ -55,7 +56,7 @@
           "SELECT '1' /* id=1,c=v,d=1,cluster=x */", "SELECT '1' /* id=1,,c=v,d=1,cluster=0 */",
           "SELECT '1' /*/", "SELECT '1 /* id=1,c=v,d=1,cluster=0 */",
           "SELECT '1' /* id=1,c=v,d=1,cluster=70000 */"})
-        ASSERT_THROW(static_cast<void>(pgwire::read_tags(bad)), pgwire::BadMessage);
+        ASSERT_THROW(static_cast<void>(pgwire::read_tags(bad)), pgwire::ProtocolError);
 }
 
 TEST(PgwireStatement, RecognizesBlankText) {
@@ -68,8 +69,8 @@
         auto text = kStatement;
         text[random() % text.size()] = static_cast<char>(random());
         try {
-            ASSERT_TRUE(pgwire::read_tags(text).left_at < text.size());
-        } catch (const pgwire::BadMessage&) {
+            ASSERT_TRUE(pgwire::read_tags(text).time_left_offset < text.size());
+        } catch (const pgwire::ProtocolError&) {
         }
     }
 }
