--- a/emulator/discovery.cpp
+++ b/emulator/discovery.cpp
@@ -70,7 +70,7 @@
             respond(400, "{}");
         }
     }
-    void ended(net::Ending) override { close(); }
+    void ended(net::ConnectionEnd) override { close(); }
     void close() {
         limit_.clear();
         line_.reset();
--- a/emulator/edge.cpp
+++ b/emulator/edge.cpp
@@ -49,7 +49,7 @@
 Line::Line(const Host& host, const Edge& edge, evutil_socket_t accepted, std::size_t most_unread,
            net::ConnectionEvents& events)
     : host_(host), edge_(edge), events_(events) {
-    connection_ = net::Connection::accepted(host.loop, accepted, most_unread, *this);
+    connection_ = net::Connection::from_socket(host.loop, accepted, most_unread, *this);
 }
 
 Line::Line(const Host& host, const Edge& edge, const sockaddr_in& to, std::size_t most_unread,
@@ -57,7 +57,8 @@
     : host_(host), edge_(edge), events_(events) {
     if (edge.cut()) return;
     connection_ = net::Connection::open(host.loop, to, most_unread, *this);
-    if (!connection_) next_.set(host.deadlines, host.deadlines.now(), [this] { ended(net::Ending::broken); });
+    if (!connection_)
+        next_.set(host.deadlines, host.deadlines.now(), [this] { ended(net::ConnectionEnd::error); });
 }
 
 template <class Tell>
@@ -70,7 +71,7 @@
 void Line::connected() { events_.connected(); }
 
 void Line::received() {
-    const auto bytes = connection_->unread();
+    const auto bytes = connection_->peek();
     const auto size = bytes.size();
     if (edge_.in.clear() && in_.empty()) {
         arrived_.append(bytes);
@@ -91,7 +92,7 @@
 }
 
 // An end that comes behind bytes still under way, or over a cut, is not seen before them.
-void Line::ended(net::Ending how) {
+void Line::ended(net::ConnectionEnd how) {
     ending_ = how;
     connection_.reset();
     changed();
--- a/emulator/edge.h
+++ b/emulator/edge.h
@@ -72,7 +72,7 @@
 
     void connected() override;
     void received() override;
-    void ended(sloestack::net::Ending how) override;
+    void ended(sloestack::net::ConnectionEnd how) override;
 
 private:
     void flow();  // lets through what is due
@@ -87,7 +87,7 @@
     std::unique_ptr<sloestack::net::Connection> connection_;
     Pipe in_, out_;
     std::string arrived_;
-    std::optional<sloestack::net::Ending> ending_;
+    std::optional<sloestack::net::ConnectionEnd> ending_;
     bool ended_told_ = false;
     sloestack::Deadline next_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -123,7 +123,7 @@
             gone();
         }
     }
-    void ended(net::Ending) override { gone(); }
+    void ended(net::ConnectionEnd) override { gone(); }
     void write(const std::string& bytes) {
         if (line_) line_->write(bytes);
     }
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -55,7 +55,7 @@
         asked_ = std::move(asked);
         until_ = of_.deadlines_.now() + asked_->question.left_ms * 1000;
         limit_.set(of_.deadlines_, until_ + of_.settings_.grace,
-                   [this] { ended(sloestack::net::Ending::broken); });
+                   [this] { ended(sloestack::net::ConnectionEnd::error); });
         again_ = false;
         begin();
     }
@@ -86,7 +86,7 @@
         heard_ = true;
         finish();
     }
-    void ended(sloestack::net::Ending) override {
+    void ended(sloestack::net::ConnectionEnd) override {
         const bool was_up = up_;
         line_.reset();
         up_ = false;
@@ -122,7 +122,7 @@
         const auto left = until_ - of_.deadlines_.now();
         if (left < 1000)  // not at once: this may be the dialect's own call
             return limit_.set(of_.deadlines_, of_.deadlines_.now(),
-                              [this] { ended(sloestack::net::Ending::broken); });
+                              [this] { ended(sloestack::net::ConnectionEnd::error); });
         auto& question = asked_->question;
         question.left_ms = left / 1000;
         if (question.request_class == kSessionRead && of_.settings_.sessions.brought) {
@@ -277,7 +277,7 @@
 void Load::reset(int proxy) {
     auto& clients = proxies_.at(static_cast<std::size_t>(proxy))->clients;
     for (std::size_t i = 0, all = clients.size(); i < all; ++i)
-        if (clients[i]->line()) clients[i]->ended(sloestack::net::Ending::broken);
+        if (clients[i]->line()) clients[i]->ended(sloestack::net::ConnectionEnd::error);
 }
 
 void Load::answered(int proxy, const Asked& asked, const conversation::Answered& a, bool sent) {
--- a/emulator/readiness.cpp
+++ b/emulator/readiness.cpp
@@ -39,15 +39,15 @@
                 line_.reset();
                 return ready_();
             }
-            if (m->type == 'E') return ended(net::Ending::broken);
+            if (m->type == 'E') return ended(net::ConnectionEnd::error);
             line_->consume(m->size);
         }
     } catch (const pgwire::BadMessage&) {
-        ended(net::Ending::broken);
+        ended(net::ConnectionEnd::error);
     }
 }
 
-void Readiness::ended(net::Ending) {
+void Readiness::ended(net::ConnectionEnd) {
     line_.reset();
     again_.set(host_.deadlines, host_.deadlines.now() + kLookAgain, [this] { open(); });
 }
--- a/emulator/readiness.h
+++ b/emulator/readiness.h
@@ -15,7 +15,7 @@
 
     void connected() override;
     void received() override;
-    void ended(sloestack::net::Ending how) override;
+    void ended(sloestack::net::ConnectionEnd how) override;
 
 private:
     void open();
--- a/fault_harness/channel.cpp
+++ b/fault_harness/channel.cpp
@@ -13,12 +13,12 @@
                  std::function<void()> ended)
     : line_(std::move(line)), ended_(std::move(ended)) {
     evutil_make_socket_nonblocking(fd);
-    connection_ = sloestack::net::Connection::accepted(loop, fd, kMostUnread, *this);
+    connection_ = sloestack::net::Connection::from_socket(loop, fd, kMostUnread, *this);
 }
 
 void Channel::received() {
     while (connection_) {
-        const auto bytes = connection_->unread();
+        const auto bytes = connection_->peek();
         const auto end = bytes.find('\n');
         if (end == std::string_view::npos) return;
         const std::string line(bytes.substr(0, end));
@@ -27,7 +27,7 @@
     }
 }
 
-void Channel::ended(sloestack::net::Ending) {
+void Channel::ended(sloestack::net::ConnectionEnd) {
     connection_.reset();
     ended_();
 }
--- a/fault_harness/channel.h
+++ b/fault_harness/channel.h
@@ -20,7 +20,7 @@
     void close() { connection_.reset(); }
 
     void received() override;
-    void ended(sloestack::net::Ending) override;
+    void ended(sloestack::net::ConnectionEnd) override;
 
 private:
     std::function<void(const std::string&)> line_;
--- a/src/admin/admin_server/admin_connection.cpp
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -39,7 +39,7 @@
 AdminConnection::AdminConnection(net::Loop& loop, Deadlines& deadlines, evutil_socket_t fd, ConnectionId id,
                                  AdminConnectionEvents& events)
     : deadlines_(deadlines), id_(id), events_(events) {
-    connection_ = net::Connection::accepted(loop, fd, kMaxUnreadBytes, *this);
+    connection_ = net::Connection::from_socket(loop, fd, kMaxUnreadBytes, *this);
     timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeoutUs, [this] { on_timeout(); });
 }
 
@@ -51,19 +51,19 @@
 
 void AdminConnection::received() {
     if (state_ == State::reading_request) return read_request();
-    connection_->consume(connection_->held());
+    connection_->consume(connection_->unread_bytes());
 }
 
 void AdminConnection::read_request() {
     try {
-        request_.feed(connection_->unread());
-        connection_->consume(connection_->held());
+        request_.feed(connection_->peek());
+        connection_->consume(connection_->unread_bytes());
         if (!request_.done()) return;
         state_ = State::awaiting_response;
         events_.on_request(id_, request_);
     } catch (const http::BadRequest& error) {
         respond({400, error_json(error.what())});
-        connection_->consume(connection_->held());
+        connection_->consume(connection_->unread_bytes());
     }
 }
 
@@ -71,13 +71,13 @@
 void AdminConnection::drained() {
     if (state_ != State::responded) return;
     if (input_ended_) return finish();
-    connection_->end_writing();
+    connection_->shutdown_write();
 }
 
-void AdminConnection::ended(net::Ending how) {
+void AdminConnection::ended(net::ConnectionEnd how) {
     input_ended_ = true;
-    const bool is_response_sent = state_ == State::responded && connection_->unwritten() == 0;
-    if (how == net::Ending::broken || !request_.done() || is_response_sent) finish();
+    const bool is_response_sent = state_ == State::responded && connection_->unwritten_bytes() == 0;
+    if (how == net::ConnectionEnd::error || !request_.done() || is_response_sent) finish();
 }
 
 void AdminConnection::on_timeout() {
--- a/src/admin/admin_server/admin_connection.h
+++ b/src/admin/admin_server/admin_connection.h
@@ -44,7 +44,7 @@
 
     void received() override;
     void drained() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State { reading_request, awaiting_response, responded };
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -198,7 +198,7 @@
                                  std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
                                  std::to_string(list_parser_.known_name_count()) + " names, " +
                                  std::to_string(deadlines_.size()) + " deadlines, " +
-                                 std::to_string(client_bytes_.held()) + " bytes");
+                                 std::to_string(client_bytes_.total_bytes()) + " bytes");
 }
 
 void Server::report() {
--- a/src/downstream/sessions/client_framer.cpp
+++ b/src/downstream/sessions/client_framer.cpp
@@ -30,33 +30,33 @@
 
 void ClientFramer::bytes_received(Time now) {
     last_read_at_ = now;
-    arrivals_.record(connection_->taken() + connection_->held(), now);
+    arrivals_.record(connection_->consumed_bytes() + connection_->unread_bytes(), now);
 }
 
 std::optional<pgwire::Message> ClientFramer::next_startup() {
-    return pgwire::next_startup(connection_->unread());
+    return pgwire::next_startup(connection_->peek());
 }
 
 std::optional<pgwire::Message> ClientFramer::next_message() {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
-    if (!size || connection_->held() < *size) return std::nullopt;
-    return pgwire::next_message(connection_->unread(), max_size_of);
+    const auto size = pgwire::size_of_next(connection_->peek(pgwire::kHead), max_size_of);
+    if (!size || connection_->unread_bytes() < *size) return std::nullopt;
+    return pgwire::next_message(connection_->peek(), max_size_of);
 }
 
 Time ClientFramer::arrival_of(const pgwire::Message& message) {
-    return arrivals_.arrival_of(connection_->taken() + message.size, last_read_at_);
+    return arrivals_.arrival_of(connection_->consumed_bytes() + message.size, last_read_at_);
 }
 
 std::optional<std::string_view> ClientFramer::peek_query(std::size_t max_size) const {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
-    if (!size || *size > max_size || connection_->held() < *size) return std::nullopt;
-    const auto message = pgwire::next_message(connection_->unread(*size), max_size_of);
+    const auto size = pgwire::size_of_next(connection_->peek(pgwire::kHead), max_size_of);
+    if (!size || *size > max_size || connection_->unread_bytes() < *size) return std::nullopt;
+    const auto message = pgwire::next_message(connection_->peek(*size), max_size_of);
     if (!message || message->type != 'Q') return std::nullopt;
     return pgwire::Fields(message->body).text();
 }
 
 std::optional<std::size_t> ClientFramer::large_statement_size() const {
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead), max_size_of);
+    const auto size = pgwire::size_of_next(connection_->peek(pgwire::kHead), max_size_of);
     if (!size || *size <= pgwire::kLargestMessage) return std::nullopt;
     return size;
 }
@@ -85,7 +85,7 @@
 }
 
 Time ClientFramer::large_statement_arrival() {
-    return arrivals_.arrival_of(connection_->taken(), last_read_at_);
+    return arrivals_.arrival_of(connection_->consumed_bytes(), last_read_at_);
 }
 
 void ClientFramer::stop() {
--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -65,7 +65,7 @@
     Time large_statement_arrival();
 
     // Whether part of a message has arrived.
-    bool has_partial_message() const { return connection_->held() > 0 || in_large_statement(); }
+    bool has_partial_message() const { return connection_->unread_bytes() > 0 || in_large_statement(); }
     // Drops a statement in progress and gives its memory back.
     void stop();
 
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -202,7 +202,7 @@
     resume_accepting_.clear();
     if (!listener_) return;
     // Connections that the kernel has accepted would be reset once nothing listens.
-    listener_->take_all();
+    listener_->accept_pending();
     listener_.reset();
 }
 
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -25,7 +25,7 @@
       statements_(context),
       timeouts_(context.deadlines, context.deadlines.now(), [this] { on_timeout(); }),
       connection_(
-          net::Connection::accepted(context.loop, fd, kMaxUnreadStartupBytes, *this, &context.account)),
+          net::Connection::from_socket(context.loop, fd, kMaxUnreadStartupBytes, *this, &context.account)),
       framer_(connection_.get(), context.large_statement_budget),
       responses_(context, *this, connection_.get()),
       disconnect_detector_(context.deadlines, *this, connection_.get()) {
@@ -37,12 +37,12 @@
 ClientSession::~ClientSession() { context_.cancel_keys.remove(cancel_key_); }
 
 bool ClientSession::has_no_input() const {
-    return responses_.empty() && !framer_.has_partial_message() && connection_->quiet();
+    return responses_.empty() && !framer_.has_partial_message() && connection_->has_nothing_to_read();
 }
 
 bool ClientSession::is_between_requests() const { return state_ == State::open && has_no_input(); }
 
-bool ClientSession::is_idle() const { return is_between_requests() && connection_->unwritten() == 0; }
+bool ClientSession::is_idle() const { return is_between_requests() && connection_->unwritten_bytes() == 0; }
 
 bool ClientSession::is_idle_before_first_query() const {
     if (is_ending() || has_sent_query_) return false;
@@ -55,12 +55,12 @@
 
 // ---- Reading ----
 void ClientSession::received() {
-    if (state_ == State::finishing) return connection_->consume(connection_->held());
+    if (state_ == State::finishing) return connection_->consume(connection_->unread_bytes());
     framer_.bytes_received(context_.deadlines.now());
     read_messages();
     if (input_is_paused()) disconnect_detector_.input_paused();
     if (state_ == State::open && responses_.empty() && context_.account.is_exceeded() &&
-        connection_->held() > kUnreadBytesUnderPressure)
+        connection_->unread_bytes() > kUnreadBytesUnderPressure)
         fail_session(pgwire::code::kOutOfMemory, "too much is waiting to be read");
 }
 
@@ -92,7 +92,7 @@
 
 bool ClientSession::read_message() {
     if (is_ending()) return false;
-    if (connection_->unwritten() > kMaxUnwrittenBytes) return false;  // goes on once drained
+    if (connection_->unwritten_bytes() > kMaxUnwrittenBytes) return false;  // goes on once drained
     if (!responses_.empty() && !next_query_may_overlap()) return false;
     if (framer_.in_large_statement()) return continue_large_statement();
     if (state_ == State::open) {
@@ -158,13 +158,13 @@
 
 bool ClientSession::input_is_paused() const {
     return !responses_.empty() && state_ == State::open &&
-           connection_->held() >= kMaxUnreadBehindRequestBytes;
+           connection_->unread_bytes() >= kMaxUnreadBehindRequestBytes;
 }
 
 // ---- Responses ----
 void ClientSession::all_responses_written() {
     disconnect_detector_.stop();
-    connection_->bound_unread(kMaxUnreadBytes);
+    connection_->set_max_unread_bytes(kMaxUnreadBytes);
     // Between requests only: a query may have been sent right behind the one just answered.
     const bool should_close = context_.close_after_response || context_.client_quota.is_exceeded();
     if (should_close && is_between_requests()) return finish();
@@ -186,16 +186,16 @@
     activity.waits_for_proxy = !responses_.empty() || framer_.waits_for_memory();
     activity.has_partial_message = framer_.has_partial_message();
     activity.in_large_statement = framer_.in_large_statement();
-    activity.unwritten_bytes = connection_->unwritten();
-    activity.sent_bytes = connection_->sent();
+    activity.unwritten_bytes = connection_->unwritten_bytes();
+    activity.sent_bytes = connection_->sent_bytes();
     activity.last_read_at = framer_.last_read_at();
     activity.last_response_at = responses_.last_response_at();
     timeouts_.renew(activity);
 }
 
 void ClientSession::on_timeout() {
-    if (connection_->unwritten() > 0) {
-        if (timeouts_.write_has_stalled(connection_->sent())) return close();
+    if (connection_->unwritten_bytes() > 0) {
+        if (timeouts_.write_has_stalled(connection_->sent_bytes())) return close();
         return renew_timeout();
     }
     if (state_ == State::open && framer_.has_partial_message())
@@ -206,11 +206,11 @@
 }
 
 // ---- The end ----
-void ClientSession::ended(net::Ending how) {
-    if (how == net::Ending::broken) return close();
+void ClientSession::ended(net::ConnectionEnd how) {
+    if (how == net::ConnectionEnd::error) return close();
     input_has_ended_ = true;
     if (state_ == State::finishing) {
-        if (connection_->unwritten() == 0) close();
+        if (connection_->unwritten_bytes() == 0) close();
         return;
     }
     read_messages();
@@ -230,15 +230,15 @@
     disconnect_detector_.stop();
     resume_reading_.clear();
     if (auto slot = context_.lingering_quota.acquire()) slot_ = std::move(slot);
-    connection_->consume(connection_->held());
-    connection_->bound_unread(kMaxUnreadBytes);
-    if (connection_->unwritten() == 0) return linger();
+    connection_->consume(connection_->unread_bytes());
+    connection_->set_max_unread_bytes(kMaxUnreadBytes);
+    if (connection_->unwritten_bytes() == 0) return linger();
     await_final_write();
 }
 
 void ClientSession::await_final_write() {
-    timeouts_.await_write_progress(connection_->sent(), [this] {
-        if (timeouts_.write_has_stalled(connection_->sent())) return close();
+    timeouts_.await_write_progress(connection_->sent_bytes(), [this] {
+        if (timeouts_.write_has_stalled(connection_->sent_bytes())) return close();
         await_final_write();
     });
 }
@@ -246,8 +246,8 @@
 void ClientSession::linger() {
     if (is_lingering_) return;
     is_lingering_ = true;
-    connection_->consume(connection_->held());
-    connection_->end_writing();
+    connection_->consume(connection_->unread_bytes());
+    connection_->shutdown_write();
     // A client that has ended its input has nothing left to be read. Not closed here: the owner may be
     // iterating over its sessions.
     if (input_has_ended_) return timeouts_.call_soon([this] { close(); });
--- a/src/downstream/sessions/client_session.h
+++ b/src/downstream/sessions/client_session.h
@@ -67,7 +67,7 @@
 
     void received() override;
     void drained() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State { startup, open, finishing, closed };
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -21,7 +21,7 @@
         return finish();
     }
     state_ = State::open;
-    connection_->bound_unread(kMaxUnreadBytes);
+    connection_->set_max_unread_bytes(kMaxUnreadBytes);
     responses_.respond(greeting(cancel_key_, startup.minor > 0));
 }
 
@@ -75,7 +75,7 @@
                                         metrics::ResponseKind::failed);
         return respond_with_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
     }
-    connection_->bound_unread(kMaxUnreadBehindRequestBytes);
+    connection_->set_max_unread_bytes(kMaxUnreadBehindRequestBytes);
     responses_.submit(std::move(statement));
 }
 
--- a/src/downstream/sessions/disconnect_detector.cpp
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -17,7 +17,7 @@
 }
 
 bool DisconnectDetector::client_disconnected() {
-    if (connection_->healthy()) return false;
+    if (connection_->is_error_free()) return false;
     // The caller may be in the midst of work for this session.
     check_.set(deadlines_, deadlines_.now(), [this] { owner_.on_client_disconnected(); });
     return true;
@@ -25,7 +25,7 @@
 
 void DisconnectDetector::schedule_check(Micros delay) {
     if (owner_.is_streaming_response()) return;
-    if (!notice_sent_ && (owner_.input_has_ended() || connection_->peer_has_ended())) {
+    if (!notice_sent_ && (owner_.input_has_ended() || connection_->peer_has_closed())) {
         notice_sent_ = true;
         connection_->write(input_ended_notice());
     }
@@ -33,7 +33,7 @@
 }
 
 void DisconnectDetector::check() {
-    if (!connection_->healthy()) return owner_.on_client_disconnected();
+    if (!connection_->is_error_free()) return owner_.on_client_disconnected();
     const bool input_matters = owner_.input_has_ended() || owner_.input_is_paused();
     if (owner_.waits_for_response() && input_matters) schedule_check(kCheckIntervalUs);
 }
--- a/src/downstream/sessions/response_writer.cpp
+++ b/src/downstream/sessions/response_writer.cpp
@@ -77,7 +77,7 @@
     if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
     connection_->write(bytes);
     const std::size_t window = context_.account.is_exceeded() ? 0 : kStreamWindowBytes;
-    if (connection_->unwritten() > window) query.source->set_paused(true);
+    if (connection_->unwritten_bytes() > window) query.source->set_paused(true);
     owner_.response_progressed();
 }
 
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -78,7 +78,7 @@
 void DiscoveryWatch::received() {
     if (!is_poll_pending()) return on_poll_failed("an answer to no call");
     try {
-        connection_->consume(response_.feed(connection_->unread()));
+        connection_->consume(response_.feed(connection_->peek()));
         if (response_.done()) on_response();
     } catch (const std::runtime_error& error) {
         on_poll_failed(error.what());
@@ -101,13 +101,13 @@
     poll();  // at once: no change is notified between polls
 }
 
-void DiscoveryWatch::ended(net::Ending how) {
+void DiscoveryWatch::ended(net::ConnectionEnd how) {
     connection_.reset();
     if (!is_poll_pending()) return;
     const bool was_connected = state_ == State::awaiting_response;
     // A reused connection may have been closed by discovery as the request crossed: not a failed poll.
     if (was_connected && connection_reused_ && response_.status() == 0) return poll();
-    if (how == net::Ending::end_of_input) response_.end_of_input();
+    if (how == net::ConnectionEnd::end_of_input) response_.end_of_input();
     if (!response_.done()) return on_poll_failed(was_connected ? "the connection broke" : "cannot connect");
     try {
         on_response();
--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -35,7 +35,7 @@
 
     void connected() override;
     void received() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State {
--- a/src/net/transport/byte_account.h
+++ b/src/net/transport/byte_account.h
@@ -12,15 +12,15 @@
     ByteAccount(const ByteAccount&) = delete;
     ByteAccount& operator=(const ByteAccount&) = delete;
 
-    void add(std::size_t bytes) { held_ += bytes; }
-    void remove(std::size_t bytes) { held_ -= bytes; }
+    void add(std::size_t bytes) { total_bytes_ += bytes; }
+    void remove(std::size_t bytes) { total_bytes_ -= bytes; }
     void set_limit(std::size_t limit) { limit_ = limit; }
-    bool is_exceeded() const { return held_ > limit_; }
-    std::size_t held() const { return held_; }
+    bool is_exceeded() const { return total_bytes_ > limit_; }
+    std::size_t total_bytes() const { return total_bytes_; }
 
 private:
     std::size_t limit_;
-    std::size_t held_ = 0;
+    std::size_t total_bytes_ = 0;
 };
 
 }  // namespace sloestack::net
--- a/src/net/transport/connection.cpp
+++ b/src/net/transport/connection.cpp
@@ -39,9 +39,9 @@
     return out;
 }
 
-Connection::Connection(bufferevent* bev, std::size_t most_unread, ConnectionEvents& events,
+Connection::Connection(bufferevent* bev, std::size_t max_unread_bytes, ConnectionEvents& events,
                        ByteAccount* account)
-    : bev_(bev), events_(events), account_(account), most_unread_(most_unread) {
+    : bev_(bev), events_(events), account_(account), max_unread_bytes_(max_unread_bytes) {
     if (account_)
         for (auto* buffer : {bufferevent_get_input(bev), bufferevent_get_output(bev)})
             evbuffer_add_cb(
@@ -51,7 +51,7 @@
                     static_cast<ByteAccount*>(book)->remove(change->n_deleted);
                 },
                 account_);
-    bufferevent_setwatermark(bev, EV_READ, 0, most_unread);
+    bufferevent_setwatermark(bev, EV_READ, 0, max_unread_bytes);
     bufferevent_set_max_single_read(bev, kReadAtOnce);
     bufferevent_setcb(
         bev, [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); },
@@ -59,7 +59,7 @@
         [](bufferevent*, short what, void* arg) {
             auto& events_of = static_cast<Connection*>(arg)->events_;
             if (what & BEV_EVENT_CONNECTED) return events_of.connected();
-            events_of.ended(what & BEV_EVENT_EOF ? Ending::end_of_input : Ending::broken);
+            events_of.ended(what & BEV_EVENT_EOF ? ConnectionEnd::end_of_input : ConnectionEnd::error);
         },
         this);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
@@ -67,7 +67,7 @@
 
 Connection::~Connection() {
     if (destroyed_) *destroyed_ = true;
-    if (account_) account_->remove(held() + unwritten());
+    if (account_) account_->remove(unread_bytes() + unwritten_bytes());
 }
 
 void Connection::read() {
@@ -76,38 +76,39 @@
     events_.received();
     if (destroyed) return;
     destroyed_ = nullptr;
-    read_or_rest();
+    update_reading();
 }
 
 // At the high watermark libevent calls back again and again within one iteration until input is consumed, so
 // that no deadline would run. Reading is therefore disabled while the limit is reached, not only by the
 // watermark.
-void Connection::read_or_rest() {
-    const bool reads = !held_back_ && held() < most_unread_;
-    if (reads == reads_) return;
-    reads_ = reads;
+void Connection::update_reading() {
+    const bool reads = !is_reading_paused_ && unread_bytes() < max_unread_bytes_;
+    if (reads == is_reading_) return;
+    is_reading_ = reads;
     if (reads)
         bufferevent_enable(bev_.get(), EV_READ);
     else
         bufferevent_disable(bev_.get(), EV_READ);
 }
 
-std::unique_ptr<Connection> Connection::accepted(Loop& loop, evutil_socket_t fd, std::size_t most_unread,
-                                                 ConnectionEvents& events, ByteAccount* account) {
+std::unique_ptr<Connection> Connection::from_socket(Loop& loop, evutil_socket_t fd,
+                                                    std::size_t max_unread_bytes, ConnectionEvents& events,
+                                                    ByteAccount* account) {
     no_delay(fd);
     auto* bev = bufferevent_socket_new(loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
     if (!bev) {
         evutil_closesocket(fd);
         return nullptr;
     }
-    return std::unique_ptr<Connection>(new Connection(bev, most_unread, events, account));
+    return std::unique_ptr<Connection>(new Connection(bev, max_unread_bytes, events, account));
 }
 
-std::unique_ptr<Connection> Connection::open(Loop& loop, const sockaddr_in& to, std::size_t most_unread,
+std::unique_ptr<Connection> Connection::open(Loop& loop, const sockaddr_in& to, std::size_t max_unread_bytes,
                                              ConnectionEvents& events) {
     const auto fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return nullptr;
-    auto out = accepted(loop, fd, most_unread, events);
+    auto out = from_socket(loop, fd, max_unread_bytes, events);
     // A refused connection is reported by ended(), later; only a failure to start connecting returns null.
     if (out &&
         bufferevent_socket_connect(out->bev_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
@@ -115,8 +116,8 @@
     return out;
 }
 
-std::string_view Connection::unread(std::size_t most) {
-    const auto size = std::min(held(), most);
+std::string_view Connection::peek(std::size_t max_bytes) {
+    const auto size = std::min(unread_bytes(), max_bytes);
     if (size == 0) return {};
     // Makes the bytes contiguous by copying; only those asked for, so that a large message that is still
     // arriving is not copied each time.
@@ -126,21 +127,21 @@
 }
 
 void Connection::consume(std::size_t bytes) {
-    taken_ += std::min(bytes, held());
+    consumed_bytes_ += std::min(bytes, unread_bytes());
     evbuffer_drain(bufferevent_get_input(bev_.get()), bytes);
-    read_or_rest();
+    update_reading();
 }
-void Connection::bound_unread(std::size_t most) {
-    most_unread_ = most;
-    bufferevent_setwatermark(bev_.get(), EV_READ, 0, most);
-    read_or_rest();
+void Connection::set_max_unread_bytes(std::size_t max_bytes) {
+    max_unread_bytes_ = max_bytes;
+    bufferevent_setwatermark(bev_.get(), EV_READ, 0, max_bytes);
+    update_reading();
 }
 void Connection::write(std::string_view bytes) {
-    written_ += bytes.size();
+    written_bytes_ += bytes.size();
     bufferevent_write(bev_.get(), bytes.data(), bytes.size());
 }
 void Connection::write(std::string_view bytes, std::shared_ptr<const void> keeper) {
-    written_ += bytes.size();
+    written_bytes_ += bytes.size();
     evbuffer_add_reference(
         bufferevent_get_output(bev_.get()), bytes.data(), bytes.size(),
         [](const void*, std::size_t, void* kept) { delete static_cast<std::shared_ptr<const void>*>(kept); },
@@ -148,39 +149,43 @@
 }
 void Connection::move_to(std::string& to, std::size_t bytes) {
     const auto start = to.size();
-    to.resize(start + std::min(bytes, held()));
-    taken_ += to.size() - start;
+    to.resize(start + std::min(bytes, unread_bytes()));
+    consumed_bytes_ += to.size() - start;
     evbuffer_remove(bufferevent_get_input(bev_.get()), to.data() + start, to.size() - start);
-    read_or_rest();
+    update_reading();
 }
-void Connection::hold(bool on) {
-    held_back_ = on;
-    read_or_rest();
+void Connection::set_reading_paused(bool is_paused) {
+    is_reading_paused_ = is_paused;
+    update_reading();
+}
+std::size_t Connection::unread_bytes() const {
+    return evbuffer_get_length(bufferevent_get_input(bev_.get()));
+}
+void Connection::shutdown_write() { shutdown(bufferevent_getfd(bev_.get()), SHUT_WR); }
+std::size_t Connection::unwritten_bytes() const {
+    return evbuffer_get_length(bufferevent_get_output(bev_.get()));
 }
-std::size_t Connection::held() const { return evbuffer_get_length(bufferevent_get_input(bev_.get())); }
-void Connection::end_writing() { shutdown(bufferevent_getfd(bev_.get()), SHUT_WR); }
-std::size_t Connection::unwritten() const { return evbuffer_get_length(bufferevent_get_output(bev_.get())); }
 
-sockaddr_in Connection::local() const {
+sockaddr_in Connection::local_address() const {
     sockaddr_in at{};
     socklen_t size = sizeof at;
     getsockname(bufferevent_getfd(bev_.get()), reinterpret_cast<sockaddr*>(&at), &size);
     return at;
 }
 
-bool Connection::healthy() const {
+bool Connection::is_error_free() const {
     int error = 0;
     socklen_t size = sizeof error;
     return getsockopt(bufferevent_getfd(bev_.get()), SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-bool Connection::quiet() const {
+bool Connection::has_nothing_to_read() const {
     char byte = 0;
     const auto got = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-bool Connection::peer_has_ended() const {
+bool Connection::peer_has_closed() const {
     pollfd look{bufferevent_getfd(bev_.get()), POLLRDHUP, 0};
     return poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -230,7 +235,7 @@
 void Listener::pause() { evconnlistener_disable(listener_.get()); }
 void Listener::resume() { evconnlistener_enable(listener_.get()); }
 
-void Listener::take_all() {
+void Listener::accept_pending() {
     const auto listening = evconnlistener_get_fd(listener_.get());
     for (evutil_socket_t fd; (fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
         accepted_(fd);
--- a/src/net/transport/connection.h
+++ b/src/net/transport/connection.h
@@ -20,15 +20,15 @@
 // "10.0.0.4:5433"; nothing where it is no address with a port.
 std::optional<sockaddr_in> parse_address(const std::string& text);
 
-enum class Ending { end_of_input, broken };
+enum class ConnectionEnd { end_of_input, error };
 
 class ConnectionEvents {
 public:
     virtual void connected() {}
     virtual void received() = 0;
     virtual void drained() {}  // all that was written is with the kernel
-    // After `broken` nothing more comes or goes; after `end_of_input` the peer may still be reading.
-    virtual void ended(Ending how) = 0;
+    // After `error` nothing more comes or goes; after `end_of_input` the peer may still be reading.
+    virtual void ended(ConnectionEnd how) = 0;
 
 protected:
     ~ConnectionEvents() = default;
@@ -37,54 +37,58 @@
 // The owner may destroy it at any time, also from its own callbacks; that closes the socket.
 class Connection {
 public:
-    static std::unique_ptr<Connection> accepted(Loop& loop, evutil_socket_t fd, std::size_t most_unread,
-                                                ConnectionEvents& events, ByteAccount* account = nullptr);
+    static std::unique_ptr<Connection> from_socket(Loop& loop, evutil_socket_t fd,
+                                                   std::size_t max_unread_bytes, ConnectionEvents& events,
+                                                   ByteAccount* account = nullptr);
     // Nothing where no socket was to be had.
-    static std::unique_ptr<Connection> open(Loop& loop, const sockaddr_in& to, std::size_t most_unread,
+    static std::unique_ptr<Connection> open(Loop& loop, const sockaddr_in& to, std::size_t max_unread_bytes,
                                             ConnectionEvents& events);
 
     ~Connection();
-    // The first bytes that have come, `most` of them or all there are.
-    std::string_view unread(
-        std::size_t most = static_cast<std::size_t>(-1));  // good until the next call that takes or reads
+    // The first bytes that have come, `max_bytes` of them or all there are.
+    std::string_view peek(std::size_t max_bytes =
+                              static_cast<std::size_t>(-1));  // good until the next call that takes or reads
     void consume(std::size_t bytes);
-    void bound_unread(std::size_t most);  // reading rests while that much is held
+    void set_max_unread_bytes(std::size_t max_bytes);  // reading rests while that much is held
     void write(std::string_view bytes);
     // Without a copy: the bytes stay their keeper's until the kernel has them.
     void write(std::string_view bytes, std::shared_ptr<const void> keeper);
     // Moves the first bytes received to the end of `to`.
     void move_to(std::string& to, std::size_t bytes);
-    void hold(bool on);                                            // stops or goes on reading
-    std::uint64_t sent() const { return written_ - unwritten(); }  // bytes the kernel has taken
-    std::size_t unwritten() const;
-    std::size_t held() const;                       // bytes received and not consumed
-    std::uint64_t taken() const { return taken_; }  // bytes consumed or moved, in all
+    void set_reading_paused(bool is_paused);  // stops or goes on reading
+    std::uint64_t sent_bytes() const {
+        return written_bytes_ - unwritten_bytes();
+    }  // bytes the kernel has taken
+    std::size_t unwritten_bytes() const;
+    std::size_t unread_bytes() const;                                 // bytes received and not consumed
+    std::uint64_t consumed_bytes() const { return consumed_bytes_; }  // bytes consumed or moved, in all
     // No more will be written; the peer sees an end once it has read all. Input still comes.
-    void end_writing();
-    sockaddr_in local() const;  // this end's address, all zero where there is none yet
+    void shutdown_write();
+    sockaddr_in local_address() const;  // this end's address, all zero where there is none yet
     // Whether the socket is free of errors; looks at the kernel's side, so also at what no callback told yet.
-    bool healthy() const;
+    bool is_error_free() const;
     // Whether nothing waits in the kernel: no bytes unread, no end, no error.
-    bool quiet() const;
+    bool has_nothing_to_read() const;
     // Whether the peer has ended its writing or all of the connection, be it behind bytes that are unread
     // yet.
-    bool peer_has_ended() const;
+    bool peer_has_closed() const;
 
 private:
     struct Free {
         void operator()(bufferevent* b) const { bufferevent_free(b); }
     };
-    Connection(bufferevent* bev, std::size_t most_unread, ConnectionEvents& events, ByteAccount* account);
+    Connection(bufferevent* bev, std::size_t max_unread_bytes, ConnectionEvents& events,
+               ByteAccount* account);
 
     void read();
-    void read_or_rest();
+    void update_reading();
 
     std::unique_ptr<bufferevent, Free> bev_;
     ConnectionEvents& events_;
     ByteAccount* account_;
-    std::uint64_t written_ = 0, taken_ = 0;
-    std::size_t most_unread_;
-    bool held_back_ = false, reads_ = true;
+    std::uint64_t written_bytes_ = 0, consumed_bytes_ = 0;
+    std::size_t max_unread_bytes_;
+    bool is_reading_paused_ = false, is_reading_ = true;
     bool* destroyed_ = nullptr;  // while a callback about input runs: whether that has destroyed this
 };
 
@@ -101,7 +105,7 @@
     void pause();
     void resume();
     // Takes what the kernel has accepted already: what it still holds when the listener goes is reset.
-    void take_all();
+    void accept_pending();
     std::uint16_t port() const;
 
 private:
--- a/src/record/replay/replay.cpp
+++ b/src/record/replay/replay.cpp
@@ -59,14 +59,14 @@
         up_ = true;
         ++of_.report_.connections;
         if (of_.out_)
-            of_.out_->open(number_, pcap::endpoint_of(link_->local()), pcap::endpoint_of(of_.settings_.to),
-                           of_.deadlines_.now());
+            of_.out_->open(number_, pcap::endpoint_of(link_->local_address()),
+                           pcap::endpoint_of(of_.settings_.to), of_.deadlines_.now());
         write(opening_);
     }
     void received() override {
         const auto now = of_.deadlines_.now();
         // Read before it is let go: the dialect reads it where it stands.
-        const auto bytes = link_->unread();
+        const auto bytes = link_->peek();
         if (of_.out_) of_.out_->data(number_, writer::Side::server, bytes, now);
         const auto size = bytes.size();
         heard_ = true;
@@ -75,7 +75,9 @@
         renew_limit();
         if (finishing_ && idle()) of_.close(connection_);
     }
-    void ended(net::Ending how) override { lose(writer::Side::server, how == net::Ending::broken); }
+    void ended(net::ConnectionEnd how) override {
+        lose(writer::Side::server, how == net::ConnectionEnd::error);
+    }
 
 private:
     void greeted(conversation::ConnectionId, Time, const conversation::Digest&) override {
--- a/src/state/hot_restart/peer_connection.cpp
+++ b/src/state/hot_restart/peer_connection.cpp
@@ -11,7 +11,7 @@
 
 PeerConnection::PeerConnection(net::Loop& loop, evutil_socket_t fd, Role role, PeerEvents& events)
     : events_(events), role_(role), state_(role == Role::predecessor ? State::joined : State::connected) {
-    connection_ = net::Connection::accepted(loop, fd, kMaxUnreadBytes, *this);
+    connection_ = net::Connection::from_socket(loop, fd, kMaxUnreadBytes, *this);
 }
 
 void PeerConnection::send(const Message& message) { connection_->write(encode(message)); }
@@ -28,7 +28,7 @@
 
 void PeerConnection::received() {
     do {
-        const auto bytes = connection_->unread();
+        const auto bytes = connection_->peek();
         const auto line_end = bytes.find('\n');
         if (line_end == std::string_view::npos) {
             if (bytes.size() > kMaxLineBytes) events_.on_disconnected(*this);
@@ -43,6 +43,6 @@
     } while (state_ != State::closed);
 }
 
-void PeerConnection::ended(net::Ending) { events_.on_disconnected(*this); }
+void PeerConnection::ended(net::ConnectionEnd) { events_.on_disconnected(*this); }
 
 }  // namespace sloestack::hot_restart
--- a/src/state/hot_restart/peer_connection.h
+++ b/src/state/hot_restart/peer_connection.h
@@ -47,7 +47,7 @@
     void close();
 
     void received() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State { connected, joined, closed };
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -86,7 +86,7 @@
         while (state_ != State::broken && read_next()) {
         }
         // For a query that has only just been sent no part of a reply has arrived yet.
-        if (state_ == State::busy && (reply_has_begun_ || connection_->held() > 0))
+        if (state_ == State::busy && (reply_has_begun_ || connection_->unread_bytes() > 0))
             events_.on_response_progress(*this);
     } catch (const pgwire::BadMessage&) {
         fail_invalid_response();
@@ -95,7 +95,7 @@
 
 bool PostgresConnection::read_next() {
     if (value_bytes_left_ > 0) return read_value_chunk();
-    const auto size = pgwire::size_of_next(connection_->unread(pgwire::kHead),
+    const auto size = pgwire::size_of_next(connection_->peek(pgwire::kHead),
                                            [this](char type) { return max_size_of(type); });
     if (!size) return false;
     if (state_ == State::busy && *size > pgwire::kLargestMessage) return begin_stream(*size);
@@ -103,9 +103,9 @@
 }
 
 bool PostgresConnection::read_message(std::size_t size) {
-    if (connection_->held() < size) return false;
+    if (connection_->unread_bytes() < size) return false;
     const auto message =
-        pgwire::next_message(connection_->unread(size), [this](char type) { return max_size_of(type); });
+        pgwire::next_message(connection_->peek(size), [this](char type) { return max_size_of(type); });
     if (state_ == State::starting)
         handle_startup_message(*message);
     else
@@ -149,7 +149,7 @@
 }
 
 bool PostgresConnection::begin_stream(std::size_t row_size) {
-    const auto head = connection_->unread(ReplyParser::kRowHeadBytes);
+    const auto head = connection_->peek(ReplyParser::kRowHeadBytes);
     if (head.size() < ReplyParser::kRowHeadBytes) return false;
     const auto value_size = reply_.begin_streamed_row(head, row_size);
     connection_->consume(ReplyParser::kRowHeadBytes);
@@ -161,8 +161,8 @@
 }
 
 bool PostgresConnection::read_value_chunk() {
-    if (is_paused_ || connection_->held() == 0) return false;
-    const auto bytes = connection_->unread(std::min(value_bytes_left_, pgwire::kLargestMessage));
+    if (is_paused_ || connection_->unread_bytes() == 0) return false;
+    const auto bytes = connection_->peek(std::min(value_bytes_left_, pgwire::kLargestMessage));
     value_bytes_left_ -= bytes.size();
     events_.on_value_chunk(*this, bytes);
     if (state_ != State::broken) connection_->consume(bytes.size());
@@ -172,7 +172,7 @@
 void PostgresConnection::set_paused(bool paused) {
     if (is_paused_ == paused || state_ != State::busy) return;
     is_paused_ = paused;
-    connection_->hold(paused);
+    connection_->set_reading_paused(paused);
     if (!paused) received();
 }
 
@@ -182,9 +182,9 @@
     fail();
 }
 
-void PostgresConnection::ended(net::Ending) {
+void PostgresConnection::ended(net::ConnectionEnd) {
     // Amid a message: what came before it is not used either.
-    if (state_ != State::broken && connection_->held() > 0) return fail_invalid_response();
+    if (state_ != State::broken && connection_->unread_bytes() > 0) return fail_invalid_response();
     fail();
 }
 
--- a/src/upstream/postgres/postgres_connection.h
+++ b/src/upstream/postgres/postgres_connection.h
@@ -25,21 +25,24 @@
     bool is_established() const override { return state_ == State::idle || state_ == State::busy; }
     bool has_answered_before() const override { return has_answered_; }
     bool is_reusable() const override {
-        return state_ == State::idle && connection_->held() == 0 && connection_->quiet();
+        return state_ == State::idle && connection_->unread_bytes() == 0 &&
+               connection_->has_nothing_to_read();
     }
     void send_query(std::shared_ptr<const traffic::Statement> statement, Micros time_left) override;
     void send_health_check() override;
     bool is_streaming() const override { return is_streaming_; }
     bool is_paused() const override { return is_paused_; }
     void set_paused(bool paused) override;
-    bool may_have_executed() const override { return state_ == State::busy && connection_->unwritten() == 0; }
+    bool may_have_executed() const override {
+        return state_ == State::busy && connection_->unwritten_bytes() == 0;
+    }
     void fail_invalid_response() override;
     void close() override;
 
     void connected() override;
     void received() override;
     void drained() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State { connecting, starting, idle, busy, broken };
--- a/tests/net/transport_test.cpp
+++ b/tests/net/transport_test.cpp
@@ -50,7 +50,7 @@
     account.add(11);
     ASSERT_TRUE(account.is_exceeded());
     account.remove(1);
-    ASSERT_TRUE(!account.is_exceeded() && account.held() == 10);
+    ASSERT_TRUE(!account.is_exceeded() && account.total_bytes() == 10);
 }
 
 TEST(DescriptorShares, LeaveRoomForTheProcessItself) {
