--- a/src/core/dispatch_loop/actions.cpp
+++ b/src/core/dispatch_loop/actions.cpp
@@ -8,7 +8,7 @@
 
 void DispatchLoop::execute(const decision::Forward& forward) {
     auto* request = requests_.find(forward.request);
-    if (!SLOESTACK_INVARIANT(request, "the module sends only what is open")) return;
+    if (!SLOESTACK_INVARIANT(request, "the decision module forwards only open requests")) return;
     if (!request->sink) return expire_attempt(forward, *request);
     const Time now = deadlines_.now();
     traffic::Attempt attempt;
@@ -23,8 +23,8 @@
     targets_->attempt_sender.send(attempt);
 }
 
-// The request was closed in the step that forwarded it. Without this report the decision module would wait
-// for the attempt's end for ever and take the endpoint to be silent.
+// Reports the end of an attempt whose request was closed in the step that forwarded it. Without this report
+// the decision module would wait for the attempt's end for ever and treat the endpoint as unresponsive.
 void DispatchLoop::expire_attempt(const decision::Forward& forward, OpenRequest& request) {
     decision::AttemptEnded end;
     end.request = forward.request;
--- a/src/core/dispatch_loop/dispatch_loop.cpp
+++ b/src/core/dispatch_loop/dispatch_loop.cpp
@@ -17,7 +17,8 @@
 
 void DispatchLoop::step() {
     step_events_.swap(queued_events_);
-    // The module hears of their end in this step; its actions may still name them.
+    // This step reports the end of these requests to the decision module, whose actions may still refer to
+    // them: they are erased only after the actions have been carried out.
     const auto closed = requests_.take_closed();
     actions_.clear();
     router_.step(deadlines_.now(), step_events_, actions_);
--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -1,10 +1,10 @@
-// One iteration of the event loop: the events gathered since the last one go to the decision module in one
-// step, and its actions are carried out. The loop decides nothing itself; it knows the client side and the
-// endpoint side only by the interfaces in core/traffic.
+// Passes the events gathered since the last event-loop iteration to the decision module in one step, and
+// carries out the actions that it returns. The dispatch loop makes no decisions itself and depends on the
+// client side and the endpoint side only through the interfaces in core/traffic.
 //
 //   dispatch_loop.cpp  the iteration
-//   inputs.cpp         callbacks of the client side, the endpoint side and discovery, turned into events
-//   actions.cpp        the decision module's actions
+//   inputs.cpp         turns callbacks of the client side, the endpoint side and discovery into events
+//   actions.cpp        carries out the decision module's actions
 #pragma once
 
 #include <functional>
@@ -22,12 +22,12 @@
 
 namespace sloestack::dispatch {
 
-// Where actions and endpoint lists go. What is referred to must outlive the loop's last iteration.
+// Receivers of actions and endpoint lists. All referenced objects must outlive the loop's last iteration.
 struct ActionTargets {
     traffic::AttemptSender& attempt_sender;
     std::function<void()> poll_discovery;
-    // Called after the list has been queued for the decision module: attempts that end because of the list
-    // are then decided by it.
+    // Called after the list has been queued for the decision module, so that the module has the new list when
+    // it handles attempts that end because of the list.
     std::function<void(decision::EndpointListKind, const std::vector<traffic::ListedEndpoint>&)>
         apply_endpoint_list;
 };
@@ -36,14 +36,15 @@
                            public traffic::AttemptListener,
                            public traffic::EndpointListListener {
 public:
-    // `deadlines` and `metrics` are not owned and outlive the loop. Throws std::invalid_argument naming the
-    // setting that cannot be run.
+    // `deadlines` and `metrics` are not owned and must outlive the loop. Throws std::invalid_argument, which
+    // names the setting, if the decision module cannot run with `settings`.
     DispatchLoop(Deadlines& deadlines, const decision::Settings& settings, std::uint64_t seed,
                  metrics::RequestMetrics& metrics);
 
-    // Must be called before the first event; the targets need the loop to be constructed.
+    // Must be called before the first event. Not a constructor parameter because the targets are constructed
+    // with a reference to the loop.
     void set_targets(ActionTargets targets);
-    // Runs the deadlines that are due, then steps the decision module until no event is left.
+    // Runs the deadlines that are due, then steps the decision module until no event is queued.
     void run_iteration();
 
     std::size_t open_request_count() const { return requests_.size(); }
@@ -84,7 +85,8 @@
     void execute(const decision::PollDiscovery& poll);
     void execute(const decision::Log& entry);
     void expire_attempt(const decision::Forward& forward, OpenRequest& request);
-    // Closes a request that the decision module rejects or fails, and counts why.
+    // Closes a request that the decision module rejects or fails, and counts the reason. Returns the
+    // request's sink, or null if the request is closed already.
     traffic::ResponseSink* close_unserved(traffic::RequestId id, decision::RejectionReason reason);
 
     Deadlines& deadlines_;
@@ -92,7 +94,7 @@
     decision::Router router_;
     std::optional<ActionTargets> targets_;
     std::vector<decision::Event> queued_events_;
-    std::vector<decision::Event> step_events_;  // those of the step that runs; a member to keep its memory
+    std::vector<decision::Event> step_events_;  // of the current step; a data member to reuse its memory
     std::vector<decision::Action> actions_;
     OpenRequests requests_;
     std::unordered_set<int> replica_groups_;
--- a/src/core/dispatch_loop/inputs.cpp
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -9,7 +9,7 @@
 using decision::EndpointListKind;
 using decision::Outcome;
 
-// How long after the client's deadline the decision module may still be about to answer.
+// How long after the client's deadline the dispatch loop waits for the decision module to end the request.
 constexpr Micros kOverdueGraceUs = 30'000;
 
 }  // namespace
@@ -30,7 +30,8 @@
 void DispatchLoop::cancel_request(traffic::RequestId id) {
     const auto* request = requests_.find(id);
     if (!requests_.close(id)) return;
-    // The decision module counts a request whose answer has started as answered: the attempt is ended here.
+    // The decision module treats a request as done once its value has started to arrive, so it would not
+    // cancel the attempt; the dispatch loop does.
     if (request->streaming_attempt)
         targets_->attempt_sender.cancel_attempt(id, *request->streaming_attempt);
     else
@@ -50,7 +51,7 @@
     auto* request = requests_.find(start.request);
     if (!request || !request->sink || request->streaming_attempt) return false;
     request->streaming_attempt = start.attempt;
-    request->overdue_check.clear();  // a started answer has no deadline
+    request->overdue_check.clear();  // a value that has started to arrive has no deadline
     queued_events_.emplace_back(start);
     request->sink->on_value_started(head, size, source);
     return true;
@@ -63,11 +64,12 @@
 
 void DispatchLoop::on_attempt_ended(const decision::AttemptEnded& end,
                                     std::optional<traffic::ResultValue> value) {
-    SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok), "served means a value");
+    SLOESTACK_INVARIANT(value.has_value() == (end.outcome == Outcome::ok),
+                        "an attempt has a value if and only if its outcome is ok");
     const auto* request = requests_.find(end.request);
     if (request) {
         metrics_.count_attempt_ended(request->request_class, end.outcome);
-        // The first answer goes to the client as it is and ends the request, without asking the module.
+        // The first value goes to the client unchanged and ends the request without a decision of the module.
         const bool is_response =
             request->streaming_attempt ? *request->streaming_attempt == end.attempt : value.has_value();
         if (is_response) respond(end.request, *request, value);
@@ -113,9 +115,10 @@
     queued_events_.emplace_back(decision::EndpointList{EndpointListKind::failed, nullptr, poll});
 }
 
-// Every request is answered in time, whatever the decision module does: one it has forgotten is failed.
+// Fails a request that the decision module has not ended in time, so that a fault in the module cannot leave
+// a client without a response.
 void DispatchLoop::on_overdue(traffic::RequestId id) {
-    SLOESTACK_INVARIANT(false, "the module answers every request in time");
+    SLOESTACK_INVARIANT(false, "the decision module ends every request by its deadline");
     queued_events_.emplace_back(decision::ClientDisconnected{id});
     if (auto* sink = requests_.close(id)) sink->on_failed();
 }
--- a/src/core/dispatch_loop/open_requests.h
+++ b/src/core/dispatch_loop/open_requests.h
@@ -1,4 +1,4 @@
-// The requests that have been submitted and that the decision module still knows of.
+// The submitted requests whose end has not yet been reported to the decision module.
 #pragma once
 
 #include <cstddef>
@@ -16,28 +16,29 @@
     traffic::ResponseSink* sink = nullptr;  // not owned; null once the request is closed
     std::shared_ptr<const traffic::Statement> statement = {};
     int request_class = 0;
-    Time deadline = 0;  // the client's
+    Time deadline = 0;  // stated by the client
     int attempt_count = 0;
-    std::optional<int> streaming_attempt = {};  // the attempt whose answer is being streamed to the client
+    std::optional<int> streaming_attempt = {};  // the attempt whose value is being streamed to the client
     Deadline overdue_check = {};
 };
 
 class OpenRequests {
 public:
-    // A new request under the next free id; the reference stays valid until it is erased.
+    // Adds a request under the next free id. The reference is valid until the request is erased.
     std::pair<traffic::RequestId, OpenRequest&> add();
-    // Null if the request is unknown or has been erased. A closed request is found until then.
+    // Returns null if the request is unknown or has been
+    // erased. Closed requests are found until they are erased.
     OpenRequest* find(traffic::RequestId id);
-    // Detaches the sink from its request and returns it, for the one response still owed to it. Null if the
-    // request is unknown or closed already.
+    // Detaches the sink from its request and returns it, so that the caller can send it the response. Returns
+    // null if the request is unknown or closed already.
     [[nodiscard]] traffic::ResponseSink* close(traffic::RequestId id);
 
-    // The requests closed since the last call. They are erased once the decision module has heard of their
-    // end.
+    // Returns the requests closed since the last call. The caller erases them once their end has been
+    // reported to the decision module.
     std::vector<traffic::RequestId> take_closed();
     void erase(const std::vector<traffic::RequestId>& ids);
 
-    // How many are not closed.
+    // The number of requests that are not closed.
     std::size_t size() const { return requests_.size() - closed_.size(); }
 
 private:
--- a/src/core/settings/setting_field.h
+++ b/src/core/settings/setting_field.h
@@ -1,4 +1,4 @@
-// What the tables that map settings to typed fields are made of.
+// Building blocks of the tables that map settings to typed fields.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,25 @@
 
 namespace sloestack::settings {
 
-// A word of the wire and what it means.
+// A word that a setting may hold and the value it stands for.
 template <class Value>
 struct Word {
     const char* name;
     Value meaning;
 };
 
+// Returns the value of the table's word that equals `value`. Throws SettingError if no word does.
 template <class Value, std::size_t kCount>
 Value read_word(const std::string& key, const std::string& value, const Word<Value> (&words)[kCount]) {
     for (const auto& word : words)
         if (value == word.name) return word.meaning;
-    throw SettingError(key, "unknown word " + value);
+    throw SettingError(key, "unknown value " + value);
 }
 
 enum class Presence { required, optional };
 
-// One row of a table: a key and how its value is stored in the struct. It throws where the value is absent.
+// One row of a table: a key and the function that stores its value in the struct. `store` throws SettingError
+// if the value is absent or cannot be read.
 template <class Struct>
 struct Field {
     const char* key;
@@ -51,20 +53,21 @@
     out = reader.list(key);
 }
 
-// Stores a value of the member's own type.
+// Stores a value of the data member's type.
 template <auto kMember, class Struct>
 void store(const SettingReader& reader, const std::string& key, Struct& out) {
     read_value(reader, key, out.*kMember);
 }
 
-// Stores what a word means.
+// Stores the value that a word stands for.
 template <auto kMember, const auto& kWords, class Struct>
 void store_word(const SettingReader& reader, const std::string& key, Struct& out) {
     out.*kMember = read_word(key, reader.text(key), kWords);
 }
 
-// Reads each field of the table in order, its key behind `prefix`. An optional field that is absent keeps its
-// default. Throws SettingError for the first field that is required and absent, or cannot be read.
+// Reads the table's fields in order; each key is prefixed with `prefix`.
+// An optional field that is absent keeps its default. Throws SettingError
+// for the first field that is required and absent, or that cannot be read.
 template <class Struct, std::size_t kCount>
 void read_fields(const SettingReader& reader, const std::string& prefix, const Field<Struct> (&table)[kCount],
                  Struct& out) {
--- a/src/core/settings/setting_reader.h
+++ b/src/core/settings/setting_reader.h
@@ -1,4 +1,4 @@
-// The text form of the settings: one path=value line each, read by key and type.
+// Reads settings in text form, one path=value line per setting, by key and type.
 #pragma once
 
 #include <functional>
@@ -11,21 +11,21 @@
 
 namespace sloestack::settings {
 
-// A setting with an empty value counts as absent. Each typed read throws SettingError where the value is
-// absent or is not of its type.
+// A setting with an empty value counts as absent. The typed reads throw SettingError if the value is absent
+// or is not of their type.
 class SettingReader {
 public:
-    // Lines without '=' are skipped; of a key that occurs more than once the first line counts.
+    // Skips lines without '='. If a key occurs more than once, the first line is used.
     explicit SettingReader(std::string_view lines);
 
-    // Null if the setting is absent.
+    // Returns null if the setting is absent.
     const std::string* find(const std::string& key) const;
     const std::string& text(const std::string& key) const;
     // A finite number in decimal form.
     double number(const std::string& key) const;
     // true, false, 1 or 0.
     bool flag(const std::string& key) const;
-    // The parts between commas; none if the setting is absent.
+    // Returns the comma-separated parts, or an empty list if the setting is absent; does not throw.
     std::vector<std::string> list(const std::string& key) const;
 
 private:
--- a/src/core/settings/settings.cpp
+++ b/src/core/settings/settings.cpp
@@ -18,7 +18,7 @@
 
 constexpr double kMaxClasses = 256;
 
-// ---- Words of the wire ----
+// ---- Words that settings may hold ----
 
 constexpr Word<Idempotency> kIdempotencyWords[] = {
     {"read_like", Idempotency::idempotent},
@@ -49,7 +49,7 @@
     {"trailing", ListedRole::delayed},
 };
 
-// ---- Settings of one request class, behind "classes.N." ----
+// ---- Settings of one request class, prefixed with "classes.N." ----
 
 constexpr Field<RequestClassSettings> kIdempotencyFields[] = {
     {"effect", Presence::required, store_word<&RequestClassSettings::idempotency, kIdempotencyWords>},
@@ -68,7 +68,7 @@
 
 // ---- Settings of the router ----
 
-// Checked, but not stored: answers themselves show whether they carry positions.
+// Checks that the value is a flag, but does not store it: each response shows whether it carries a position.
 void check_flag(const SettingReader& reader, const std::string& key, Settings&) { (void)reader.flag(key); }
 
 constexpr Field<Settings> kRouterFields[] = {
@@ -96,7 +96,7 @@
     {"specifics.role-listed", Presence::optional, store_word<&Settings::listed_role, kListedRoleWords>},
 };
 
-// ---- Settings of the packages round the router ----
+// ---- Settings of the packages around the router ----
 
 constexpr Field<InstanceSettings> kInstanceFields[] = {
     {"specifics.base-time-us", Presence::optional, store<&InstanceSettings::position_base>},
@@ -106,7 +106,8 @@
     {"limits.conn-idle-us", Presence::optional, store<&InstanceSettings::idle_limit_us>},
 };
 
-// Settings that hold one value a class, separated by commas.
+// The number of request classes, the settings that hold one value per class, separated by commas, and the
+// setting that says how load reports are delivered.
 constexpr const char* kClassCountKey = "classes.count";
 constexpr const char* kConsistencyKey = "specifics.class-read";
 constexpr const char* kStalenessBoundKey = "specifics.staleness-bound-us";
@@ -124,18 +125,20 @@
 
 std::vector<RequestClassSettings> read_classes(const SettingReader& reader) {
     const double count = reader.number(kClassCountKey);
-    if (!(count >= 1 && count <= kMaxClasses)) throw SettingError(kClassCountKey, "out of range");
+    if (!(count >= 1 && count <= kMaxClasses))
+        throw SettingError(kClassCountKey, "out of range, must be 1 to 256");
     const auto consistencies = reader.list(kConsistencyKey);
     const auto bounds = reader.list(kStalenessBoundKey);
     if (consistencies.size() != static_cast<std::size_t>(count))
-        throw SettingError(kConsistencyKey, "one word a class is wanted");
+        throw SettingError(kConsistencyKey, "must hold one value per request class");
     std::vector<RequestClassSettings> out;
     for (std::size_t i = 0; i < consistencies.size(); ++i) {
         auto& request_class = out.emplace_back(read_class(reader, class_prefix(i)));
         request_class.consistency = read_word(kConsistencyKey, consistencies[i], kConsistencyWords);
         request_class.is_write = consistencies[i] == kWriteWord;
         if (request_class.consistency != Consistency::bounded_staleness) continue;
-        if (i >= bounds.size()) throw SettingError(kStalenessBoundKey, "missing for a lag_bound class");
+        if (i >= bounds.size())
+            throw SettingError(kStalenessBoundKey, "missing for a request class with lag_bound");
         request_class.staleness_bound_us = std::strtoll(bounds[i].c_str(), nullptr, 10);
     }
     return out;
@@ -150,7 +153,7 @@
     return out;
 }
 
-// Whether load reports are delivered at all and hold a position or a role.
+// Returns whether load reports are delivered and hold a position or a role.
 bool reports_hold_status(const SettingReader& reader, const std::vector<std::string>& report_fields) {
     const auto* delivery = reader.find(kReportDeliveryKey);
     if (!delivery || *delivery == "none") return false;
--- a/src/core/settings/settings.h
+++ b/src/core/settings/settings.h
@@ -1,6 +1,6 @@
-// Start-up settings as path=value lines, mapped to typed fields by the tables in settings.cpp. The
-// simulator's adapter and the proxy on sockets both read their settings here, so that a name means the same
-// to both.
+// Maps start-up settings, given as path=value lines, to typed fields by the
+// tables in settings.cpp. The simulator adapter and the proxy on sockets
+// both read their settings here, so that a key has the same meaning in both.
 #pragma once
 
 #include <string>
@@ -12,24 +12,24 @@
 
 namespace sloestack::settings {
 
-// Names of the values in a load report that the decision module uses.
+// Names of the load report values that the decision module uses.
 constexpr const char* kPositionReportField = "x0";
 constexpr const char* kRoleReportField = "x1";
 
 struct InstanceSettings {
     decision::Settings router;
-    decision::Time position_base = 0;        // positions count from here
-    std::vector<std::string> report_fields;  // names of the values in a load report, in their order
+    decision::Time position_base = 0;        // reported positions are relative to this time
+    std::vector<std::string> report_fields;  // names of the values in a load report, in order
 
     // Used only by the proxy on sockets:
-    std::vector<std::string> class_names;  // one a class, empty where it has none
+    std::vector<std::string> class_names;  // one per request class; empty if the class has no name
     std::vector<std::string> zone_names;
     decision::Micros connect_timeout_us = 0;  // 0: not set
-    decision::Micros idle_limit_us = 0;       // endpoints close connections idle this long; 0: not set
+    decision::Micros idle_limit_us = 0;       // endpoints close connections after this idle time; 0: not set
 };
 
-// Unknown keys are skipped. Throws SettingError (a std::invalid_argument) for the first setting that is
-// required and missing, or that cannot be read.
+// Parses path=value lines; skips unknown keys. Throws SettingError (a std::invalid_argument) for the first
+// setting that is required and missing, or that cannot be read.
 InstanceSettings parse_settings(std::string_view text);
 
 }  // namespace sloestack::settings
--- a/src/core/traffic/attempt.h
+++ b/src/core/traffic/attempt.h
@@ -1,4 +1,5 @@
-// How the dispatch loop has attempts and health checks carried out, and how their results come back.
+// Interfaces between the dispatch loop and the endpoint side: the dispatch loop sends attempts and health
+// checks, the endpoint side reports their results.
 #pragma once
 
 #include <cstddef>
@@ -15,38 +16,39 @@
 // One forwarding of a request to one endpoint.
 struct Attempt {
     RequestId request = 0;
-    int number = 0;  // counts a request's attempts from 0
+    int number = 0;  // index among the request's attempts, from 0
     int request_class = 0;
     EndpointId endpoint = 0;
     std::shared_ptr<const Statement> statement;
     Time timeout_at = 0;
-    std::optional<Time> start_by = {};  // its first byte is written before then or never
+    // If its first byte has not been written by then, the attempt ends without being sent.
+    std::optional<Time> start_by = {};
 };
 
-// Carries attempts and health checks out; implemented by the endpoint side.
+// Carries out attempts and health checks. Implemented by the endpoint side.
 class AttemptSender {
 public:
     virtual ~AttemptSender() = default;
     virtual void send(const Attempt& attempt) = 0;
-    // Does nothing for an attempt that has ended. Its end is still reported.
+    // Does nothing if the attempt has ended. The end of a cancelled attempt is still reported.
     virtual void cancel_attempt(RequestId request, int number) = 0;
     virtual void start_health_check(EndpointId endpoint) = 0;
 };
 
-// Gets the result of each attempt and health check exactly once; implemented by the dispatch loop.
+// Receives the result of each attempt and health check exactly once. Implemented by the dispatch loop.
 class AttemptListener {
 public:
-    // A value too large to be buffered: its chunks follow, then on_attempt_ended with a value that holds the
-    // command tag. `source` lives until then. Returns false if nobody waits for it: the sender ends the
-    // attempt.
+    // Called for a value that is too large to be buffered. Its chunks follow, then on_attempt_ended with a
+    // value that holds only the command tag; `source` is valid until then. Returns false if the request no
+    // longer waits for a response, or another attempt already streams it; the sender then ends the attempt.
     virtual bool on_answer_started(const decision::AnswerStarted& start, const ResultValue& head,
                                    std::size_t size, ResponseSource& source) = 0;
     virtual void on_value_chunk(RequestId request, std::string_view bytes) = 0;
     // `value` is present if and only if the outcome is ok.
     virtual void on_attempt_ended(const decision::AttemptEnded& end, std::optional<ResultValue> value) = 0;
     virtual void on_health_check_ended(const decision::HealthCheckEnded& end) = 0;
-    // Whether the request still waits for its response, asked before an attempt's first byte is written.
-    // Cancels the request if its client has disconnected.
+    // Returns whether the request still waits for its response. Called before an attempt's first byte is
+    // written. Cancels the request if its client has disconnected.
     virtual bool is_request_active(RequestId request) = 0;
 
 protected:
--- a/src/core/traffic/request.h
+++ b/src/core/traffic/request.h
@@ -1,4 +1,4 @@
-// How the client side hands requests to the dispatch loop.
+// Interface by which the client side submits requests to the dispatch loop.
 #pragma once
 
 #include <memory>
@@ -16,14 +16,14 @@
 
 class RequestDispatcher {
 public:
-    // Returns the request's id. `sink` gets nothing before this iteration of the event loop ends, and must
+    // Returns the request's id. `sink` is not called before the current event-loop iteration ends, and must
     // live until its response is complete or the request is cancelled.
     virtual RequestId submit(Request request, ResponseSink& sink) = 0;
-    // The client has disconnected or asked to cancel: `sink` gets nothing more. Does nothing for a request
-    // that has been answered.
+    // Cancels a request whose client has disconnected or has asked to cancel it; its sink is not called
+    // again. Does nothing if the response is complete.
     virtual void cancel_request(RequestId request) = 0;
     virtual bool has_ready_endpoints() const = 0;
-    // Whether discovery has ever listed an endpoint of this replica group.
+    // Returns whether discovery has ever listed an endpoint of this replica group.
     virtual bool knows_replica_group(int replica_group) const = 0;
 
 protected:
--- a/src/core/traffic/response.h
+++ b/src/core/traffic/response.h
@@ -1,4 +1,4 @@
-// How the client side gets the response to a request, whole or streamed.
+// Interface by which the client side receives the response to a request, whole or streamed.
 #pragma once
 
 #include <cstddef>
@@ -10,41 +10,43 @@
 
 namespace sloestack::traffic {
 
-// The single value (one row of one column) that an endpoint answered with.
+// The single value (one row of one column) that an endpoint returned.
 struct ResultValue {
     std::string column;
-    std::string bytes;        // empty where the value is null or streamed
-    std::string command_tag;  // what the endpoint reported as the completed command
-    std::uint32_t type = 0;   // the column's type identifier, as the endpoint gave it
+    std::string bytes;        // empty if the value is null or streamed
+    std::string command_tag;  // the completed command, as reported by the endpoint
+    std::uint32_t type = 0;   // the column's type identifier, as reported by the endpoint
     bool is_null = false;
     bool is_binary = false;
 };
 
-// Where a streamed value comes from; kept by the endpoint side.
+// The source of a streamed value. Owned by the endpoint side.
 class ResponseSource {
 public:
-    // Back-pressure: a paused source delivers nothing until it is resumed. Resuming may deliver at once.
+    // Back-pressure: a paused source delivers nothing until it is
+    // resumed. Resuming may deliver chunks before this call returns.
     virtual void set_paused(bool paused) = 0;
 
 protected:
     ~ResponseSource() = default;
 };
 
-// Waits for the response to one request; kept by the client side. Gets exactly one of: on_value; on_rejected;
-// on_failed; or on_value_started with its chunks, ended by on_value_completed or on_value_aborted.
+// Receives the response to one request. Owned by the client side. Exactly one
+// of these is called: on_value; on_rejected; on_failed; or on_value_started
+// followed by chunks and then by on_value_completed or on_value_aborted.
 class ResponseSink {
 public:
     virtual void on_value(const ResultValue& value) = 0;
-    // A value of `size` bytes follows in chunks; `head` holds all but its bytes and command tag. `source`
-    // lives until the value is completed or aborted.
+    // A value of `size` bytes follows in chunks. `head` holds everything but its bytes and command tag.
+    // `source` is valid until the value is completed or aborted.
     virtual void on_value_started(const ResultValue& head, std::size_t size, ResponseSource& source) = 0;
     virtual void on_value_chunk(std::string_view bytes) = 0;
     virtual void on_value_completed(const std::string& command_tag) = 0;
-    // No further chunk comes; those that came must not be used.
+    // No further chunk follows, and the chunks received so far must not be used.
     virtual void on_value_aborted() = 0;
     virtual void on_rejected(Micros retry_after) = 0;
     virtual void on_failed() = 0;
-    // Asks the connection itself, as its callback for a disconnect may still be outstanding.
+    // Checks the connection itself, because its callback for a disconnect may not have run yet.
     virtual bool client_disconnected() = 0;
 
 protected:
--- a/src/core/traffic/statement.h
+++ b/src/core/traffic/statement.h
@@ -1,4 +1,4 @@
-// A client's statement as it is forwarded to an endpoint.
+// A client's statement in the form that is forwarded to endpoints.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,20 @@
 
 namespace sloestack::traffic {
 
-// The text as the client sent it. Only the digits that state the time left change with each attempt.
+// The text as the client sent it. Each attempt replaces only
+// the digits that state the time left until the deadline.
 struct Statement {
     std::string text;
-    // Where those digits stand in `text`, in bytes.
+    // The position of those digits in `text`, in bytes.
     std::size_t time_left_offset = 0;
     std::size_t time_left_size = 0;
-    // For a large statement: its share of the memory budget, released with the statement.
+    // A large statement's share of the memory budget, released
+    // when the statement is destroyed; null for others.
     std::shared_ptr<void> memory_reservation = {};
 
-    // The digits for `left`: whole milliseconds, rounded, at least 1.
+    // Returns the digits for `left`, in whole milliseconds: rounded, at least 1.
     static std::string format_time_left(Micros left);
-    // The text with `left` in place of the time the client stated.
+    // Returns the text with `left` in place of the time that the client stated.
     std::string with_time_left(Micros left) const;
 };
 
--- a/src/core/traffic/types.h
+++ b/src/core/traffic/types.h
@@ -1,4 +1,4 @@
-// The identifiers and times that the packages round the decision module share with it.
+// The identifier and time types that the decision module shares with the packages around it.
 #pragma once
 
 #include "sloestack/router.h"
--- a/tests/deployments_test.sh
+++ b/tests/deployments_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The program starts on the configurations of other deployments, and says what is wrong with one that it cannot serve.
+# Checks that the program serves the configurations of other deployments and rejects one that it cannot serve, with
+# the key at fault.
 # deployments_test.sh SLOESTACK FOLDER
 set -euo pipefail
 program=$1
@@ -12,17 +13,17 @@
 }
 for file in "$folder"/*.json; do
     export EDGE_CONFIG=$file
-    "$program" check || fail "$file cannot be served"
+    "$program" check || fail "$file: check rejected the configuration"
     : >"$scratch/log"
     "$program" serve 2>>"$scratch/log" &
     served=$!
-    # Ends with the event; the limit is for a hang.
-    timeout 60 grep -q -m1 'serving' <(tail -f -n +1 --pid=$served "$scratch/log") || fail "$file is not served"
+    # grep ends with the log line; the time-out ends the test if the program hangs.
+    timeout 60 grep -q -m1 'serving' <(tail -f -n +1 --pid=$served "$scratch/log") || fail "$file: no log line \"serving\""
     kill -TERM $served
-    wait $served || fail "$file: has not ended in order"
+    wait $served || fail "$file: SIGTERM did not end the program with exit code 0"
 done
 sed 's/"non_idempotent"/"at-will"/' "$folder/harbour-stowage.json" >"$scratch/bad.json"
 EDGE_CONFIG=$scratch/bad.json
-if "$program" check 2>"$scratch/log"; then fail "an unknown effect is served"; fi
-grep -q 'classes.0.effect: unknown word at-will' "$scratch/log" || fail "not told: $(cat "$scratch/log")"
+if "$program" check 2>"$scratch/log"; then fail "a configuration with an unknown effect was accepted"; fi
+grep -q 'classes.0.effect: unknown value at-will' "$scratch/log" || fail "no error about the effect in: $(cat "$scratch/log")"
 echo "deployments: passed"
