--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -1,6 +1,6 @@
-// Follows discovery's endpoint list by HTTP long polling: one poll after the other for as long as they
-// succeed. How long polls are held and waited for is said by decision::PollTimeouts; when to start again
-// behind a failure is up to the listener.
+// Follows discovery's endpoint list by HTTP long polling: starts the next poll as soon as one has succeeded.
+// decision::PollTimeouts determines how long discovery may hold a poll and when the poll times out. After a
+// failed poll the watch stops, and the listener decides when to start it again.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,19 @@
 
 class DiscoveryWatch final : public net::ConnectionEvents {
 public:
-    // `host` is what requests name as such. `revision` is that of the list already held, if any. The
-    // references outlive this.
+    // `host` is sent in the Host header. `revision` is that of the list that the listener already has, if
+    // any. All referenced objects must outlive the watch.
     DiscoveryWatch(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& address, std::string host,
                    EndpointListParser& parser, std::optional<std::int64_t> revision,
                    traffic::EndpointListListener& listener, const decision::PollTimeouts& timeouts);
 
-    // Begins to poll where it does not. A failure stops it and is reported to the listener.
+    // Starts polling; does nothing if the watch is polling already.
+    // A failed poll stops it and is reported to the listener.
     void start();
-    // Discovery is at another address from now on. The complete list is asked for at once: the revision held
-    // means nothing there.
+    // Polls discovery at another address from now on. Requests the complete list at once, because revisions
+    // of the old address have no meaning at the new one.
     void change_address(const sockaddr_in& address, std::string host);
-    // Whether a first poll has succeeded or failed.
+    // Returns whether any poll has succeeded or failed so far.
     bool has_completed_poll() const { return has_completed_poll_; }
 
     void connected() override;
@@ -42,11 +43,11 @@
         stopped,
         connecting,
         awaiting_response,
-        delivering_list,  // to the listener, behind which the next poll begins
+        delivering_list,  // to the listener; the next poll starts when it returns
     };
     enum class PollFailure {
-        no_answer,  // none that is whole and a list
-        rejected,   // by a status that is no success: discovery is there
+        no_response,  // no complete response with a valid list
+        rejected,     // an HTTP status other than 200: discovery is reachable
     };
 
     void poll();
@@ -54,10 +55,10 @@
     void send_request();
     void on_response();
     void on_poll_timeout();
-    void on_poll_failed(const std::string& reason, PollFailure failure = PollFailure::no_answer);
+    void on_poll_failed(const std::string& reason, PollFailure failure = PollFailure::no_response);
     void drop_connection();
     bool is_poll_pending() const { return state_ == State::connecting || state_ == State::awaiting_response; }
-    bool is_held() const { return revision_ && current_poll_.hold_us > 0; }
+    bool is_long_poll() const { return revision_ && current_poll_.hold_us > 0; }
 
     net::Loop& loop_;
     Deadlines& deadlines_;
@@ -68,11 +69,11 @@
     traffic::EndpointListListener& listener_;
     State state_ = State::stopped;
     std::unique_ptr<net::Connection> connection_;  // kept between polls
-    bool connection_reused_ = false;               // by the current poll
+    bool connection_reused_ = false;               // whether the current poll uses an older connection
     http::ResponseParser response_;
     decision::PollTimeouts timeouts_;
-    decision::PollTimeouts::Next current_poll_ = {};  // or the last one
-    Time poll_started_at_ = 0;                        // its connection attempt included
+    decision::PollTimeouts::Next current_poll_ = {};  // of the last poll while none is pending
+    Time poll_started_at_ = 0;                        // before the connection attempt
     Deadline poll_timeout_;
     bool has_completed_poll_ = false;
 };
--- a/src/fleet/discovery/endpoint_id_registry.cpp
+++ b/src/fleet/discovery/endpoint_id_registry.cpp
@@ -18,7 +18,8 @@
     return hash;
 }
 
-// Generated names end in eight hexadecimal digits, which make the id easy to recognise in logs.
+// Returns the id that the name gets unless another name has it. Generated names end in eight hexadecimal
+// digits; these become the id, which makes it easy to recognise in logs. Other names are hashed.
 EndpointId preferred_id(const std::string& name) {
     if (name.size() < kSuffixDigits) return fnv1a(name);
     const auto suffix = name.substr(name.size() - kSuffixDigits);
--- a/src/fleet/discovery/endpoint_id_registry.h
+++ b/src/fleet/discovery/endpoint_id_registry.h
@@ -1,6 +1,6 @@
-// Numeric ids for endpoints, which discovery knows by name. A name keeps its id while it is listed and long
-// after, and has the same one at every proxy wherever possible, so that equal decisions name the same
-// endpoint.
+// Assigns numeric ids to endpoints, which discovery identifies by name. A name keeps its id while it is
+// listed and long after. Ids are derived from the names, so that all proxies use the same id for an endpoint
+// unless two names collide.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
 
 class EndpointIdRegistry {
 public:
-    // The id of the name, assigned now where it has none. The name counts as listed from here on.
+    // Returns the name's id and assigns one if it has none. Marks the name as listed.
     decision::EndpointId id_of(const std::string& name);
-    // The name is listed no more. Bounds memory where endpoints are replaced for good: of such names only the
-    // last `kMaxRetainedNames` keep their ids.
+    // Marks the name as no longer listed. Only the last `kMaxRetainedNames` names so marked keep their ids,
+    // which bounds memory in fleets whose endpoints are replaced under new names.
     void on_removed(const std::string& name);
     bool contains(const std::string& name) const { return by_name_.count(name) > 0; }
     std::size_t size() const { return by_name_.size(); }
@@ -32,7 +32,7 @@
 
     std::map<std::string, Assignment> by_name_;
     std::map<decision::EndpointId, std::string> by_id_;
-    std::map<std::uint64_t, std::string> removed_;  // by removal sequence: the oldest first
+    std::map<std::uint64_t, std::string> removed_;  // by removal sequence, oldest first
     std::uint64_t last_removal_sequence_ = 0;
 };
 
--- a/src/fleet/discovery/endpoint_list_codec.cpp
+++ b/src/fleet/discovery/endpoint_list_codec.cpp
@@ -8,11 +8,11 @@
 using decision::EndpointState;
 using nlohmann::json;
 
-// The names on the wire, of the list ...
+// JSON keys of the list ...
 constexpr const char* kRevision = "revision";
 constexpr const char* kComplete = "complete";
 constexpr const char* kEntries = "members";
-// ... of an entry's fields ...
+// ... of an entry ...
 constexpr const char* kName = "id";
 constexpr const char* kState = "phase";
 constexpr const char* kAddress = "host_port";
@@ -21,7 +21,7 @@
 constexpr const char* kStartedAtMs = "up_since_ms";
 constexpr const char* kRole = "role";
 constexpr const char* kZone = "locality";
-// ... and of their values.
+// ... and the values of an entry's "role" and "phase".
 constexpr const char* kPrimaryRole = "primary";
 struct StateName {
     const char* wire_name;
--- a/src/fleet/discovery/endpoint_list_codec.h
+++ b/src/fleet/discovery/endpoint_list_codec.h
@@ -1,5 +1,5 @@
-// The JSON of discovery's endpoint lists: the one place that knows its field names. Each field is read when
-// it is asked for; what cannot be read throws EndpointListError with the entry and the field.
+// Decodes the JSON of discovery's endpoint lists. No other file knows its field names. Each accessor reads
+// its field and throws EndpointListError, which names the entry and the field, if the field cannot be read.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,21 @@
 
 namespace sloestack::discovery {
 
-// One entry of a list. Refers to the JSON, which outlives it.
+// Decodes one entry of a list. Holds a reference to the JSON, which must outlive the decoder.
 class EndpointEntryDecoder {
 public:
-    // `position` is the entry's in the list, from 0.
+    // `position` is the entry's index in the list, from 0.
     EndpointEntryDecoder(const nlohmann::json& entry, std::size_t position);
 
     std::string name() const;
     decision::EndpointState state() const;
-    // The optional fields and what they are where they are missing:
-    std::string address() const;        // "10.1.0.18:5433"; empty
-    int replica_group() const;          // 0
-    double size() const;                // 1
-    decision::Time started_at() const;  // us; 0
-    bool listed_as_primary() const;     // false
-    std::string zone_name() const;      // empty
+    // Optional fields, with the value that is returned if the field is missing:
+    std::string address() const;        // for example "10.1.0.18:5433"; missing: empty
+    int replica_group() const;          // missing: 0
+    double size() const;                // missing: 1
+    decision::Time started_at() const;  // in microseconds; missing: 0
+    bool listed_as_primary() const;     // missing: false
+    std::string zone_name() const;      // missing: empty
 
 private:
     template <class T>
@@ -39,15 +39,15 @@
     std::size_t position_;
 };
 
-// A whole list. Refers to the JSON, which outlives it.
+// Decodes a list. Holds a reference to the JSON, which must outlive the decoder.
 class EndpointListDecoder {
 public:
     explicit EndpointListDecoder(const nlohmann::json& list);
 
     std::int64_t revision() const;
-    // Whether the list names all endpoints; otherwise only those that have changed.
+    // Returns whether the list names all endpoints, rather than only those that have changed.
     bool is_complete() const;
-    // The entries, to be decoded one by one.
+    // Returns the entries, each to be decoded by an EndpointEntryDecoder.
     const nlohmann::json& entries() const;
 
 private:
--- a/src/fleet/discovery/endpoint_list_error.h
+++ b/src/fleet/discovery/endpoint_list_error.h
@@ -1,4 +1,4 @@
-// Why an endpoint list of discovery has been rejected, and which of its entries is at fault.
+// The error for an endpoint list that is rejected, with the entry at fault.
 #pragma once
 
 #include <cstddef>
@@ -10,9 +10,9 @@
 
 class EndpointListError : public std::runtime_error {
 public:
-    // The list as a whole is at fault.
+    // For a fault of the list as a whole.
     explicit EndpointListError(const std::string& reason) : std::runtime_error(reason) {}
-    // One entry is, counted from 0 as in the JSON array.
+    // For a fault of one entry, given by its index in the JSON array, from 0.
     EndpointListError(std::size_t entry, const std::string& reason)
         : std::runtime_error("discovery list, entry " + std::to_string(entry) + ": " + reason),
           entry_(entry) {}
--- a/src/fleet/discovery/endpoint_list_parser.cpp
+++ b/src/fleet/discovery/endpoint_list_parser.cpp
@@ -70,28 +70,29 @@
 }
 
 EndpointList EndpointListParser::parse(const nlohmann::json& json,
-                                       std::optional<std::int64_t> held_revision) {
+                                       std::optional<std::int64_t> current_revision) {
     const EndpointListDecoder decoder(json);
     EndpointList list;
     list.revision = decoder.revision();
-    if (held_revision && list.revision < *held_revision)
-        throw EndpointListError("a list of revision " + std::to_string(list.revision) + ", older than " +
-                                std::to_string(*held_revision));
+    if (current_revision && list.revision < *current_revision)
+        throw EndpointListError("discovery list: revision " + std::to_string(list.revision) +
+                                " is older than the current revision " + std::to_string(*current_revision));
     list.complete = decoder.is_complete();
     for (const auto& entry : decoder.entries())
         list.endpoints.push_back(endpoint_of({entry, list.endpoints.size()}));
-    // Discovery that has lost its state would take the whole fleet out of service.
+    // Discovery that has lost its state sends an empty list, which would take the whole fleet out of service.
     if (list.complete && list.endpoints.empty() && !listed_.empty())
-        throw EndpointListError("a whole list without a member");
+        throw EndpointListError("discovery list: complete but without endpoints");
     update_listed(list);
     retain_draining(list);
     return list;
 }
 
-EndpointList EndpointListParser::parse(const std::string& text, std::optional<std::int64_t> held_revision) {
+EndpointList EndpointListParser::parse(const std::string& text,
+                                       std::optional<std::int64_t> current_revision) {
     const auto json = nlohmann::json::parse(text, nullptr, false);
-    if (json.is_discarded()) throw EndpointListError("the list is not JSON");
-    return parse(json, held_revision);
+    if (json.is_discarded()) throw EndpointListError("discovery list: not valid JSON");
+    return parse(json, current_revision);
 }
 
 }  // namespace sloestack::discovery
--- a/src/fleet/discovery/endpoint_list_parser.h
+++ b/src/fleet/discovery/endpoint_list_parser.h
@@ -1,5 +1,5 @@
-// Turns discovery's endpoint lists into entries of the decision module. Rejects lists that would take back
-// what is known, and holds what later lists are judged by.
+// Converts discovery's endpoint lists into entries for the decision module. Rejects malformed lists, lists
+// with an older revision, and empty lists while endpoints are known; keeps the state that these checks need.
 #pragma once
 
 #include <cstddef>
@@ -21,24 +21,25 @@
 
 struct EndpointList {
     std::int64_t revision = 0;
-    bool complete = false;  // all endpoints, not only those that have changed
+    bool complete = false;  // whether it names all endpoints, rather than only those that have changed
     std::vector<traffic::ListedEndpoint> endpoints;
 };
 
 class EndpointListParser {
 public:
-    // The names of the zones, each at its number in the decision module.
+    // `zone_names` holds each zone's name at the index that is the zone's number in the decision module.
     explicit EndpointListParser(std::vector<std::string> zone_names) : zone_names_(std::move(zone_names)) {}
 
-    // Throws EndpointListError where the list is malformed, has a lower revision than the one held, or is
+    // Throws EndpointListError if the list is malformed, has a lower revision than `current_revision`, or is
     // complete and empty while endpoints are known.
-    EndpointList parse(const nlohmann::json& json, std::optional<std::int64_t> held_revision = {});
-    EndpointList parse(const std::string& text, std::optional<std::int64_t> held_revision = {});
-    // Discovery is at another address, whose revisions may begin lower. Until they reach the last one seen, a
-    // list may add endpoints, but does not take back that a process, known by its start time, is draining.
+    EndpointList parse(const nlohmann::json& json, std::optional<std::int64_t> current_revision = {});
+    EndpointList parse(const std::string& text, std::optional<std::int64_t> current_revision = {});
+    // Called when discovery moves to another address, whose revisions may start lower. Until they reach the
+    // last revision parsed, a complete list may add endpoints but does not end the drain of a process, which
+    // is identified by its start time.
     void on_address_change();
 
-    // Whether any list has named the endpoint; those removed long ago are forgotten.
+    // Returns whether any list has named the endpoint. Names removed long ago are forgotten.
     bool was_ever_listed(const std::string& name) const { return ids_.contains(name); }
     std::size_t known_name_count() const { return ids_.size(); }
 
@@ -51,9 +52,9 @@
     std::vector<std::string> zone_names_;
     EndpointIdRegistry ids_;
     std::set<std::string> listed_;
-    std::map<std::string, decision::Time> draining_;  // name to the start time of the process
+    std::map<std::string, decision::Time> draining_;  // start time of the draining process, by endpoint name
     std::int64_t last_revision_ = -1;
-    std::int64_t catch_up_revision_ = -1;  // complete lists below it may not end a drain
+    std::int64_t catch_up_revision_ = -1;  // complete lists of a lower revision do not end a drain
 };
 
 }  // namespace sloestack::discovery
--- a/src/fleet/discovery/poll_request.h
+++ b/src/fleet/discovery/poll_request.h
@@ -1,4 +1,4 @@
-// The HTTP request that asks discovery for its endpoint list.
+// Builds the HTTP requests for discovery's endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace sloestack::discovery {
 
-// Asks for the complete list, answered at once.
+// Requests the complete list. Discovery responds at once.
 std::string complete_list_request(const std::string& host);
 
-// Asks for what has changed after `revision`. Discovery holds the request back until there is a change, for
-// `hold_us` at most.
+// Requests the changes after `revision`. Discovery holds the request until there is a change, for at most
+// `hold_us`, rounded down to milliseconds.
 std::string changes_request(const std::string& host, std::int64_t revision, decision::Micros hold_us);
 
 }  // namespace sloestack::discovery
--- a/src/fleet/exclusions/exclusions.h
+++ b/src/fleet/exclusions/exclusions.h
@@ -1,5 +1,5 @@
-// Endpoints that operators have excluded by hand. Sits between discovery and the listener of its endpoint
-// lists, and reports an excluded endpoint as draining for as long as discovery lists it as ready.
+// Endpoints that operators have excluded. Receives discovery's endpoint lists and passes them on to the next
+// listener, in which an excluded endpoint that discovery lists as ready is reported as draining.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 
 class Exclusions final : public traffic::EndpointListListener {
 public:
-    // `next` is given the lists with the exclusions applied; it outlives this.
+    // `next` receives the lists with the exclusions applied. It must outlive this object.
     explicit Exclusions(traffic::EndpointListListener& next) : next_(next) {}
 
     void on_endpoint_list(decision::EndpointListKind kind,
                           std::vector<traffic::ListedEndpoint> endpoints) override;
     void on_poll_failed(const decision::FailedPoll& poll) override { next_.on_poll_failed(poll); }
 
-    // Both take an endpoint's name in discovery, listed or not, and report the change of a listed one at
-    // once. A call that changes nothing is ignored.
+    // Both functions take an endpoint's name in discovery, whether or not it is listed. If it is listed, they
+    // report the change to the next listener before they return. A call that changes nothing is ignored.
     void exclude(const std::string& name);
-    // The endpoint is reported as discovery lists it now, its start time included.
+    // Reports the endpoint as discovery lists it now, with its current start time.
     void include(const std::string& name);
 
     bool is_excluded(const std::string& name) const { return excluded_.count(name) > 0; }
--- a/tests/fleet/discovery_watch_test.cpp
+++ b/tests/fleet/discovery_watch_test.cpp
@@ -1,5 +1,5 @@
-// The discovery watch over loopback sockets, on the test's own clock: whatever way polls fail, a change is
-// known within the six seconds that operators are promised, and an incomplete answer is never used.
+// The discovery watch on loopback sockets and a manual clock. However polls fail, a change must be received
+// within the six seconds that operators are promised, and an incomplete response must never be used.
 #include "discovery/discovery_watch.h"
 
 #include <optional>
@@ -15,7 +15,7 @@
 using sloestack::decision::EndpointListKind;
 using sloestack::decision::PollBackoff;
 
-constexpr double kLargestDraw = 0.999'999'9;
+constexpr double kMaxRandomDraw = 0.999'999'9;
 
 sloestack::decision::Settings settings(int routers) {
     sloestack::decision::Settings out;
@@ -37,25 +37,35 @@
            "\r\n\r\n" + body;
 }
 
-// How a poll can fail.
-enum class Failure { silence, refusal, garbage, older_list, half, no_length, endless, byte_by_byte, no_list };
-constexpr Failure kFailures[] = {Failure::silence,    Failure::refusal,      Failure::garbage,
-                                 Failure::older_list, Failure::half,         Failure::no_length,
-                                 Failure::endless,    Failure::byte_by_byte, Failure::no_list};
+// The ways in which a poll can fail.
+enum class Failure {
+    no_response,
+    error_status,
+    invalid_json,
+    older_list,
+    truncated,
+    no_length,
+    unfinished_chunk,
+    unfinished_head,
+    empty_list
+};
+constexpr Failure kFailures[] = {Failure::no_response,      Failure::error_status,    Failure::invalid_json,
+                                 Failure::older_list,       Failure::truncated,       Failure::no_length,
+                                 Failure::unfinished_chunk, Failure::unfinished_head, Failure::empty_list};
 
 class WatchHarness final : public traffic::EndpointListListener {
 public:
     explicit WatchHarness(int routers)
         : backoff_(settings(routers)),
-          watch_(loop_, deadlines_, loopback::address(discovery_.port()), "d", lists_, std::nullopt, *this,
-                 sloestack::decision::PollTimeouts(settings(routers), 7)) {
+          watch_(loop_, deadlines_, loopback::address(discovery_.port()), "d", list_parser_, std::nullopt,
+                 *this, sloestack::decision::PollTimeouts(settings(routers), 7)) {
         watch_.start();
     }
 
     void on_poll_failed(const sloestack::decision::FailedPoll& poll) override {
         ++failures;
-        // As the decision module does, with the longest draw.
-        retry_.set(deadlines_, clock.now() + backoff_.delay_after_failure(poll, kLargestDraw),
+        // As the decision module does, with the random draw that gives the longest delay.
+        retry_.set(deadlines_, clock.now() + backoff_.delay_after_failure(poll, kMaxRandomDraw),
                    [this] { watch_.start(); });
     }
     void on_endpoint_list(EndpointListKind, std::vector<traffic::ListedEndpoint> entries) override {
@@ -66,7 +76,8 @@
         }
     }
 
-    // The next poll, with the clock advanced as far as needed; empty where the watch has nothing scheduled.
+    // Returns the next poll's method and target, and advances the clock as far as needed. Returns an empty
+    // string if no deadline is set, or if no poll has been sent after 100 deadlines.
     std::string next_poll() {
         for (int deadline = 0; deadline < 100; ++deadline) {
             for (int i = 0; i < 20; ++i)
@@ -78,35 +89,35 @@
         }
         return {};
     }
-    // Answers the poll returned last.
-    void answer(const std::string& bytes) {
+    // Sends a response, or a part of one, to the poll that next_poll() returned last.
+    void respond(const std::string& bytes) {
         polling_peer_->send(bytes);
         run_once();
     }
     void fail(Failure failure) {
         switch (failure) {
-            case Failure::silence:
+            case Failure::no_response:
                 return;
-            case Failure::refusal:
-                return answer(response("busy", "503 Busy"));
-            case Failure::garbage:
-                return answer(response("<html>not a list</html>"));
+            case Failure::error_status:
+                return respond(response("busy", "503 Busy"));
+            case Failure::invalid_json:
+                return respond(response("<html>not a list</html>"));
             case Failure::older_list:
-                return answer(response(list(1, "in_service")));
-            case Failure::no_list:
-                return answer(response(R"({"revision":9,"complete":true,"members":[]})"));
-            case Failure::half: {
-                const auto all = response(list(9, "terminating"));
-                answer(all.substr(0, all.size() / 2));
+                return respond(response(list(1, "in_service")));
+            case Failure::empty_list:
+                return respond(response(R"({"revision":9,"complete":true,"members":[]})"));
+            case Failure::truncated: {
+                const auto whole = response(list(9, "terminating"));
+                respond(whole.substr(0, whole.size() / 2));
                 return polling_peer_->reset();
             }
-            case Failure::no_length:  // complete as it stands, but a reset does not end a body
-                answer("HTTP/1.1 200 OK\r\n\r\n" + list(9, "terminating"));
+            case Failure::no_length:  // the list is complete, but a reset is not a valid end of the body
+                respond("HTTP/1.1 200 OK\r\n\r\n" + list(9, "terminating"));
                 return polling_peer_->reset();
-            case Failure::endless:
-                return answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n{\"revision\"");
-            case Failure::byte_by_byte:
-                return answer("HTTP/1.1 200 O");
+            case Failure::unfinished_chunk:
+                return respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n{\"revision\"");
+            case Failure::unfinished_head:
+                return respond("HTTP/1.1 200 O");
         }
     }
     void run_once() {
@@ -121,8 +132,8 @@
 
     loopback::ManualClock clock;
     int failures = 0;
-    std::optional<sloestack::decision::EndpointState> state;  // of the only member, as last reported
-    Time notified_at = 0;
+    std::optional<sloestack::decision::EndpointState> state;  // of the only endpoint, as last reported
+    Time notified_at = 0;                                     // when it was last reported
     Listener discovery_;
     discovery::DiscoveryWatch& watch() { return watch_; }
 
@@ -132,10 +143,10 @@
         for (auto& peer : discovery_.peers) {
             const auto end = peer.received.find("\r\n\r\n");
             if (end == std::string::npos) continue;
-            const auto call = peer.received.substr(0, peer.received.find(" HTTP"));
+            const auto method_and_target = peer.received.substr(0, peer.received.find(" HTTP"));
             peer.received.erase(0, end + 4);
             polling_peer_ = &peer;
-            return call;
+            return method_and_target;
         }
         return {};
     }
@@ -143,105 +154,105 @@
     net::Loop loop_;
     Deadlines deadlines_{clock};
     PollBackoff backoff_;
-    discovery::EndpointListParser lists_{{"a"}};
+    discovery::EndpointListParser list_parser_{{"a"}};
     discovery::DiscoveryWatch watch_;
     Deadline retry_;
     loopback::Peer* polling_peer_ = nullptr;
 };
 
-// Up to a long poll of full length, which discovery will never answer.
-void bring_to_long_poll(WatchHarness& harness) {
+// Runs the watch until a long poll of full length is pending, to which discovery never responds.
+void run_until_long_poll(WatchHarness& harness) {
     EXPECT_EQ(harness.next_poll(), "GET /registry/instances");
-    harness.answer(response(list(5, "in_service")));
+    harness.respond(response(list(5, "in_service")));
     ASSERT_TRUE(harness.run_until([&] { return harness.state.has_value(); }));
     EXPECT_NE(harness.next_poll().find("after=5&wait_ms="), std::string::npos);
-    harness.answer(response(no_changes(5)));
+    harness.respond(response(no_changes(5)));
     EXPECT_NE(harness.next_poll().find("after=5&wait_ms="), std::string::npos);
 }
 
 void send_drain(WatchHarness& harness, Time changed_at, const std::string& what) {
-    harness.answer(response(list(9, "terminating", false)));
+    harness.respond(response(list(9, "terminating", false)));
     EXPECT_TRUE(harness.run_until([&] {
         return harness.state == sloestack::decision::EndpointState::draining;
     })) << what;
     EXPECT_LT(harness.notified_at - changed_at, PollBackoff::kNotificationBoundUs) << what;
 }
 
-// A member begins to drain just as discovery stops answering.
-TEST(DiscoveryWatch, AChangeMissedByASilentPollIsKnownInTime) {
+// An endpoint begins to drain just as discovery stops responding.
+TEST(DiscoveryWatch, ReceivesAChangeInTimeAfterALongPollWithoutAResponse) {
     for (const int routers : {1, 3, 30, 166, 300, 1000}) {
         WatchHarness harness(routers);
-        bring_to_long_poll(harness);
+        run_until_long_poll(harness);
         const Time changed_at = harness.clock.now();
-        const auto call = harness.next_poll();
-        EXPECT_NE(call.find("after=5&wait_ms=1"), std::string::npos) << call << ": no immediate poll";
-        EXPECT_EQ(call.back(), '1') << call;
+        const auto poll = harness.next_poll();
+        EXPECT_NE(poll.find("after=5&wait_ms=1"), std::string::npos) << poll << ": no immediate poll";
+        EXPECT_EQ(poll.back(), '1') << poll;
         send_drain(harness, changed_at, std::to_string(routers));
     }
 }
 
-// The next poll fails as well, in any way and as late as it can.
-TEST(DiscoveryWatch, AFailureAfterASilentPollIsStillInTimeWhereFewRoutersShareDiscovery) {
+// After a long poll without a response the next poll fails too, in each way and as late as it can.
+TEST(DiscoveryWatch, ReceivesAChangeInTimeAfterASecondFailureIfFewRoutersShareDiscovery) {
     for (const int routers : {1, 3, 30, 166})
         for (const auto failure : kFailures) {
             const auto what =
                 std::to_string(routers) + " routers, failure " + std::to_string(static_cast<int>(failure));
             WatchHarness harness(routers);
-            bring_to_long_poll(harness);
+            run_until_long_poll(harness);
             const Time changed_at = harness.clock.now();
             ASSERT_FALSE(harness.next_poll().empty()) << what;
             harness.fail(failure);
             ASSERT_FALSE(harness.next_poll().empty()) << what;
             EXPECT_EQ(harness.state, sloestack::decision::EndpointState::ready)
-                << what << ": the old list stays";
+                << what << ": the old list must stay in force";
             EXPECT_EQ(harness.failures, 1) << what;
             send_drain(harness, changed_at, what);
         }
 }
 
-// Polls have failed for so long that the backoff is at its longest; discovery recovers while one is in
-// flight.
-TEST(DiscoveryWatch, TheFirstListAfterALongOutageIsKnownInTime) {
+// Polls have failed for so long that the backoff is at its
+// maximum; discovery recovers while a poll is in flight.
+TEST(DiscoveryWatch, ReceivesTheFirstListInTimeAfterALongOutage) {
     for (const int routers : {3, 300, 1000})
         for (const auto failure : kFailures) {
             const auto what =
                 std::to_string(routers) + " routers, failure " + std::to_string(static_cast<int>(failure));
             WatchHarness harness(routers);
-            bring_to_long_poll(harness);
+            run_until_long_poll(harness);
             for (int i = 0; i < 8; ++i) {
                 ASSERT_FALSE(harness.next_poll().empty()) << what;
                 harness.fail(failure);
             }
             ASSERT_FALSE(harness.next_poll().empty()) << what;
-            const Time back_at = harness.clock.now();
+            const Time recovered_at = harness.clock.now();
             harness.fail(failure);
             ASSERT_FALSE(harness.next_poll().empty()) << what;
             EXPECT_EQ(harness.state, sloestack::decision::EndpointState::ready) << what;
-            send_drain(harness, back_at, what);
+            send_drain(harness, recovered_at, what);
         }
 }
 
-// The time to open a connection is part of the long poll, not added to it.
-TEST(DiscoveryWatch, AnAnswerThatClosesItsConnectionAddsNoDelay) {
+// The time to open a connection is part of the hold of the long poll, not added to it.
+TEST(DiscoveryWatch, AResponseThatClosesItsConnectionAddsNoDelay) {
     WatchHarness harness(3);
-    bring_to_long_poll(harness);
+    run_until_long_poll(harness);
     const auto body = no_changes(5);
-    harness.answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
-                   "\r\n\r\n" + body);
+    harness.respond("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
+                    "\r\n\r\n" + body);
     ASSERT_NE(harness.next_poll().find("after=5&wait_ms=2000"), std::string::npos);
     const Time changed_at = harness.clock.now();
     ASSERT_FALSE(harness.next_poll().empty());
     send_drain(harness, changed_at, "on a connection of its own");
 }
 
-// Discovery moves while a poll is in flight: later answers of the old address are ignored, and a lower
-// revision of the new one does not make its list older.
-TEST(DiscoveryWatch, AnswersOfTheOldAddressAreIgnoredAfterAMove) {
+// Discovery moves while a poll is in flight. Responses of the old address are ignored after that, and the
+// list of the new address is accepted although its revision is lower.
+TEST(DiscoveryWatch, IgnoresResponsesOfTheOldAddressAfterAMove) {
     WatchHarness harness(3);
-    bring_to_long_poll(harness);
+    run_until_long_poll(harness);
     Listener other;
-    auto& old = harness.discovery_.peers.back();
-    old.send(response(list(8, "terminated")));  // has arrived before the move, but may not have been read
+    auto& old_peer = harness.discovery_.peers.back();
+    old_peer.send(response(list(8, "terminated")));  // arrives before the move, but may not have been read
     harness.watch().change_address(loopback::address(other.port()), "other");
     ASSERT_TRUE(harness.run_until([&] {
         other.receive();
@@ -257,11 +268,11 @@
     EXPECT_EQ(harness.failures, 0);
 }
 
-// A drain reported by the old address is kept while the list of the new one is older.
-TEST(DiscoveryWatch, ADrainIsKeptAtANewAddressWithAnOlderList) {
+// A drain reported by the old address is kept while the list of the new address has a lower revision.
+TEST(DiscoveryWatch, KeepsADrainAfterAMoveToAnOlderList) {
     WatchHarness harness(3);
-    bring_to_long_poll(harness);
-    harness.answer(response(list(8, "terminating", false)));
+    run_until_long_poll(harness);
+    harness.respond(response(list(8, "terminating", false)));
     ASSERT_TRUE(
         harness.run_until([&] { return harness.state == sloestack::decision::EndpointState::draining; }));
     Listener other;
@@ -284,10 +295,10 @@
     EXPECT_EQ(harness.state, sloestack::decision::EndpointState::ready) << "a change is reported";
 }
 
-// Two moves in a row with the first one's poll still in flight: the last address counts.
-TEST(DiscoveryWatch, TheLastOfTwoMovesCounts) {
+// Discovery moves twice; the poll at the second address is still in flight at the second move.
+TEST(DiscoveryWatch, UsesTheLastAddressAfterTwoMoves) {
     WatchHarness harness(3);
-    bring_to_long_poll(harness);
+    run_until_long_poll(harness);
     Listener second;
     Listener third;
     harness.watch().change_address(loopback::address(second.port()), "second");
