--- a/src/admin/admin_server/admin_connection.cpp
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxUnreadBytes = std::size_t{16} * 1024;
-constexpr Micros kConnectionTimeoutUs = 900'000;  // accepted to the last byte: callers wait 1 s
+constexpr Micros kConnectionTimeoutUs = 900'000;  // from accepting to closing a connection; callers wait 1 s
 
 const char* reason_phrase(int status) {
     switch (status) {
@@ -67,7 +67,8 @@
     }
 }
 
-// The client reads the response before the socket closes: to close with input unread could discard it.
+// Closes only the sending direction and waits for the client to close its own: closing a socket with unread
+// input resets the connection, which could discard the response.
 void AdminConnection::drained() {
     if (state_ != State::responded) return;
     if (input_ended_) return finish();
@@ -82,7 +83,7 @@
 
 void AdminConnection::on_timeout() {
     if (state_ == State::responded) return finish();
-    respond({408, error_json("no whole call in time")});
+    respond({408, error_json("the request was not completed in time")});
     timeout_.set(deadlines_, deadlines_.now() + kConnectionTimeoutUs, [this] { finish(); });
 }
 
--- a/src/admin/admin_server/admin_connection.h
+++ b/src/admin/admin_server/admin_connection.h
@@ -1,4 +1,4 @@
-// One connection to the admin server: reads one HTTP/1.1 request, is given the response, and ends.
+// One connection to the admin server: reads one HTTP/1.1 request, sends one response, and ends.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 struct Response {
     int status = 200;
     std::string body;                      // JSON
-    const char* allowed_method = nullptr;  // for the Allow header, where there is one
+    const char* allowed_method = nullptr;  // the Allow header; null for none
 };
 
-// Callbacks of a connection, implemented by the owner of the connections.
+// Callbacks of a connection. Implemented by the owner of the connections.
 class AdminConnectionEvents {
 public:
-    // The request is whole. It may be responded to later. Throws http::BadRequest where it cannot be used.
+    // A complete request has been read. The response may be given during this call or later. Throws
+    // http::BadRequest if the request is malformed.
     virtual void on_request(ConnectionId id, const http::RequestParser& request) = 0;
-    // Nothing more comes or goes: the owner destroys the connection when it is off the call stack.
+    // The connection is done: the owner destroys it when none of its functions is on the call stack.
     virtual void on_finished(ConnectionId id) = 0;
 
 protected:
@@ -33,13 +34,13 @@
 
 class AdminConnection final : public net::ConnectionEvents {
 public:
-    // Takes over the socket. The references outlive this.
+    // Takes ownership of `fd`. All referenced objects must outlive the connection.
     AdminConnection(net::Loop& loop, Deadlines& deadlines, evutil_socket_t fd, ConnectionId id,
                     AdminConnectionEvents& events);
 
-    // False where the socket could not be taken over.
+    // Returns whether a connection could be created for the socket. If not, the object can only be destroyed.
     bool is_open() const { return connection_ != nullptr; }
-    // Only the first response is sent.
+    // Sends the response; does nothing if one has been sent.
     void respond(const Response& response);
 
     void received() override;
--- a/src/admin/admin_server/admin_json.h
+++ b/src/admin/admin_server/admin_json.h
@@ -5,7 +5,7 @@
 
 namespace sloestack::admin {
 
-// Neither escapes: the texts are the program's own.
+// The texts are not escaped: callers must pass texts without characters that JSON escapes.
 inline std::string done_json(const std::string& what) { return "{\"done\":\"" + what + "\"}"; }
 inline std::string error_json(const std::string& reason) { return "{\"error\":\"" + reason + "\"}"; }
 
--- a/src/admin/admin_server/admin_server.cpp
+++ b/src/admin/admin_server/admin_server.cpp
@@ -8,8 +8,8 @@
 namespace sloestack::admin {
 namespace {
 
-constexpr std::size_t kMaxConnections = 8;  // their descriptors are not part of the clients' shares
-constexpr Micros kAcceptPauseUs = 20'000;   // while there are no descriptors
+constexpr std::size_t kMaxConnections = 8;  // their descriptors are not part of the client quota
+constexpr Micros kAcceptPauseUs = 20'000;   // before accepting again after running out of descriptors
 
 }  // namespace
 
@@ -38,7 +38,8 @@
 
 AdminServer::~AdminServer() = default;
 
-// At the limit the oldest connection makes room: clients that finish no request must not lock others out.
+// At the limit the oldest connection is closed, so that
+// clients that never complete a request cannot block others.
 void AdminServer::on_accepted(evutil_socket_t fd) {
     if (connections_.size() >= kMaxConnections) on_finished(connections_.begin()->first);
     const auto id = ++last_id_;
@@ -63,9 +64,9 @@
     for (const auto& route : kRoutes) {
         if (request.path() != route.path) continue;
         if (request.method() == route.method) return (this->*route.handle)(id, request);
-        return respond(id, {405, error_json("not this method"), route.method});
+        return respond(id, {405, error_json("method not allowed"), route.method});
     }
-    respond(id, {404, error_json("no such call")});
+    respond(id, {404, error_json("unknown path")});
 }
 
 void AdminServer::handle_ready(ConnectionId id, const http::RequestParser&) {
@@ -87,8 +88,10 @@
 
 void AdminServer::update_exclusion(ConnectionId id, const http::RequestParser& request, bool excluded) {
     const auto endpoint = request.parameter("id");
-    if (!endpoint || endpoint->empty()) return respond(id, {400, error_json("no id")});
-    if (!handler_.was_ever_listed(*endpoint)) return respond(id, {404, error_json("never listed")});
+    if (!endpoint || endpoint->empty())
+        return respond(id, {400, error_json("query parameter id is missing or empty")});
+    if (!handler_.was_ever_listed(*endpoint))
+        return respond(id, {404, error_json("discovery has never listed an endpoint of this id")});
     const std::string update = excluded ? "excluded" : "included";
     log::line(update, *endpoint);
     const auto done = [this, id, update] { respond(id, {200, done_json(update)}); };
--- a/src/admin/admin_server/admin_server.h
+++ b/src/admin/admin_server/admin_server.h
@@ -1,5 +1,5 @@
-// The operators' HTTP/1.1 interface, one request a connection: readiness, metrics, and the exclusion of
-// endpoints. It knows the routes and their responses; what they do is up to the AdminHandler.
+// The operators' HTTP/1.1 interface, with one request per connection: readiness, metrics, and the exclusion
+// of endpoints. Maps requests to calls of the AdminHandler, and their results to responses.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,16 @@
 
 namespace sloestack::admin {
 
-// What the requests act on; implemented by the server.
+// Carries out the requests. Implemented by the server.
 class AdminHandler {
 public:
-    // Called once, now or later, when an update is in force; the client may have gone by then.
+    // Called once when an update is in force, during the call of exclude or include or later. The client may
+    // have disconnected by then.
     using Done = std::function<void()>;
 
     virtual bool ready() const = 0;
     virtual std::string metrics_json() const = 0;
-    // Whether discovery has ever listed an endpoint of this name.
+    // Returns whether discovery has ever listed an endpoint of this name.
     virtual bool was_ever_listed(const std::string& endpoint) const = 0;
     virtual void exclude(const std::string& endpoint, Done done) = 0;
     virtual void include(const std::string& endpoint, Done done) = 0;
@@ -34,8 +35,8 @@
 
 class AdminServer final : private AdminConnectionEvents {
 public:
-    // Listens at once; throws std::runtime_error where the address cannot be listened on. The references
-    // outlive this.
+    // Starts to listen. Throws std::runtime_error if the address cannot be listened on. All referenced
+    // objects must outlive the server.
     AdminServer(net::Loop& loop, Deadlines& deadlines, const sockaddr_in& address, AdminHandler& handler);
     ~AdminServer();
     std::uint16_t port() const { return listener_->port(); }
@@ -58,7 +59,7 @@
     net::Loop& loop_;
     Deadlines& deadlines_;
     AdminHandler& handler_;
-    std::map<ConnectionId, std::unique_ptr<AdminConnection>> connections_;  // the oldest first
+    std::map<ConnectionId, std::unique_ptr<AdminConnection>> connections_;  // oldest first
     ConnectionId last_id_ = 0;
     Deadline resume_accepting_;
     std::unique_ptr<net::Listener> listener_;
--- a/src/app/config/config.h
+++ b/src/app/config/config.h
@@ -1,5 +1,5 @@
-// The program's configuration: the EDGE_* environment variables and the JSON file that EDGE_CONFIG names.
-// Where both give a value, the variable takes precedence.
+// The program's configuration: the EDGE_* environment variables and the JSON file that EDGE_CONFIG names. If
+// both set a value, the environment variable takes precedence.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,7 +16,7 @@
 
 namespace sloestack::config {
 
-// what() is "KEY: REASON"; the key is one of the file or the name of a variable.
+// what() is "KEY: REASON", where KEY is a key of the file or the name of an environment variable.
 class ConfigError : public std::runtime_error {
 public:
     ConfigError(std::string key, std::string reason);
@@ -30,28 +30,28 @@
 
 struct Config {
     std::string name;
-    sockaddr_in listen{};     // where clients connect
-    sockaddr_in discovery{};  // where endpoint lists are polled
-    std::optional<sockaddr_in>
-        control;                       // the operators' server; none where neither file nor variable names it
-    std::optional<int> passed_socket;  // the clients' listening socket, where the platform holds it
-    std::string scratch;               // a folder that the processes of one proxy share; may be empty
-    std::string discovery_host;        // as configured, host:port
-    std::string discovery_in_file;     // empty where the file names none
+    sockaddr_in listen{};                      // for clients
+    sockaddr_in discovery{};                   // polled for endpoint lists
+    std::optional<sockaddr_in> admin_address;  // of the admin server; unset if not configured
+    std::optional<int> passed_socket;          // the clients' listening socket, if the platform passes one
+    std::string scratch_directory;             // shared by the processes of one proxy; may be empty
+    std::string discovery_host;                // host:port of `discovery`, as configured
+    std::string discovery_in_file;             // host:port in the file; empty if the file has none
     std::uint64_t seed = 0;
-    int sockets = 0;  // the most descriptors that may be open
+    int max_sockets = 0;  // the limit on open descriptors
     std::int64_t memory_mb = 0;
-    nlohmann::json known;  // the endpoint list as this proxy last had it; may be null
+    nlohmann::json known_list;  // the endpoint list that this proxy last received; may be null
     settings::InstanceSettings settings;
 };
 
-// Returns the value of an environment variable, null if it is not set; as std::getenv does.
-using Variable = std::function<const char*(const char* name)>;
+// Returns the value of an environment variable, or null if it is not set, like std::getenv.
+using Environment = std::function<const char*(const char* name)>;
 
-// Each of these throws ConfigError for the first value that is missing or cannot be used.
-Config parse(const nlohmann::json& file, const Variable& variable);
-Config load(const Variable& variable);  // from the file that EDGE_CONFIG names
-Config load_from_environment();
-sockaddr_in discovery_address(const std::string& text);
+// Each of these functions throws ConfigError for the first value that is missing or invalid.
+Config parse(const nlohmann::json& file, const Environment& environment);
+Config load(const Environment& environment);  // reads the file that EDGE_CONFIG names
+Config load_from_environment();               // uses std::getenv
+// Parses the file's value of "discovery".
+sockaddr_in discovery_address(const std::string& host_port);
 
 }  // namespace sloestack::config
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// sloestack: the command line of the proxy.
+// The command line of the proxy, sloestack.
 #include <csignal>
 #include <cstdlib>
 #include <cxxopts.hpp>
@@ -16,23 +16,24 @@
 
 constexpr int kExitFailure = 1;
 constexpr int kExitBadInput = 2;
-constexpr Micros kMaxIterationWait = 60'000'000;
+constexpr Micros kMaxIterationWaitUs = 60'000'000;
 
 int serve(const config::Config& config) {
     std::signal(SIGPIPE, SIG_IGN);
     server::Server server(config);
     server.handle_signals(config::load_from_environment);
     log::line("serving", config.name);
-    while (!server.is_stopped()) server.run_iteration(kMaxIterationWait);
+    while (!server.is_stopped()) server.run_iteration(kMaxIterationWaitUs);
     invariant::Counter::report();
     log::line("stopped", config.name);
     return EXIT_SUCCESS;
 }
 
-// Throws what serving would throw for this configuration, without opening a socket.
+// Validates the configuration as `serve` does, except for
+// the endpoint list under "known", without opening a socket.
 int check(const config::Config& config) {
     const decision::Router validated(config.settings.router, config.seed);
-    std::cout << "configuration of " << config.name << " can be served\n";
+    std::cout << "configuration of " << config.name << " is valid\n";
     return EXIT_SUCCESS;
 }
 
@@ -43,14 +44,14 @@
 
 int print_help(const cxxopts::Options& options) {
     std::cout << options.help() << "\n  serve    run the proxy; EDGE_CONFIG names its configuration\n"
-              << "  check    read the configuration and say whether it can be served\n"
+              << "  check    check that the configuration is valid, without serving\n"
               << "  version  print the version\n";
     return EXIT_SUCCESS;
 }
 
 int run(int argc, char** argv) {
     cxxopts::Options options("sloestack",
-                             "A proxy between database clients and the members that hold the data.");
+                             "A proxy between database clients and the endpoints that hold the data.");
     options.add_options()("command", "serve, check or version", cxxopts::value<std::string>())(
         "h,help", "print this help");
     options.parse_positional({"command"});
@@ -61,7 +62,7 @@
     if (command == "version") return print_version();
     if (command == "check") return check(config::load_from_environment());
     if (command == "serve") return serve(config::load_from_environment());
-    log::line("bad command line", "command: serve, check or version is wanted");
+    log::line("bad command line", "command: must be serve, check or version");
     return kExitBadInput;
 }
 
--- a/src/app/server/derived_settings.cpp
+++ b/src/app/server/derived_settings.cpp
@@ -28,7 +28,8 @@
 
 decision::Settings router_settings(decision::Settings settings) {
     settings.retry_after_supported = true;
-    // Where lists are pushed, an agent of this proxy alone receives them, and that is polled.
+    // Where discovery pushes lists, an agent that serves only
+    // this proxy receives them, and the proxy polls the agent.
     settings.discovery_agent_is_local = !settings.discovery_is_polled;
     settings.discovery_is_polled = true;
     return settings;
@@ -50,7 +51,7 @@
     return out;
 }
 
-decision::Micros longest_deadline(const decision::Settings& settings) {
+decision::Micros max_deadline(const decision::Settings& settings) {
     decision::Micros out = 0;
     for (const auto& request_class : settings.classes) out = std::max(out, request_class.deadline_us);
     return out;
--- a/src/app/server/derived_settings.h
+++ b/src/app/server/derived_settings.h
@@ -1,4 +1,4 @@
-// What the packages of the proxy are constructed with, derived from the settings.
+// Derives the constructor arguments of the proxy's packages from the settings.
 #pragma once
 
 #include <vector>
@@ -9,17 +9,18 @@
 
 namespace sloestack::server {
 
-// The loop is not owned and outlives the pool.
+// The loop is not owned and must outlive the pool.
 upstream::ConnectionPoolSettings pool_settings(net::Loop& loop, const settings::InstanceSettings& settings);
-// The decision module's settings as they hold on sockets, where a rejection can always carry a Retry-After
-// and endpoint lists are always polled.
+// Returns the decision module's settings for the proxy on sockets, where a rejection can always carry a
+// Retry-After and endpoint lists are always polled.
 decision::Settings router_settings(decision::Settings settings);
-// Whether some class reads what its session has written.
+// Returns whether a request class has session consistency,
+// that is, must read what its client session has written.
 bool uses_sessions(const decision::Settings& settings);
-// For each class whether its requests may run beside others of the same connection: reads that may be
-// repeated.
+// Returns for each request class whether its requests may run concurrently with others of the same
+// connection: true for idempotent reads.
 std::vector<bool> overlap_allowed(const decision::Settings& settings);
-// The longest that any client waits for a response.
-decision::Micros longest_deadline(const decision::Settings& settings);
+// Returns the longest deadline of all request classes.
+decision::Micros max_deadline(const decision::Settings& settings);
 
 }  // namespace sloestack::server
--- a/src/app/server/server.cpp
+++ b/src/app/server/server.cpp
@@ -29,14 +29,14 @@
 
 std::optional<std::int64_t> known_revision(const config::Config& config,
                                            const discovery::EndpointList& known) {
-    return config.known.is_null() ? std::nullopt : std::optional(known.revision);
+    return config.known_list.is_null() ? std::nullopt : std::optional(known.revision);
 }
 
-// Where the processes of one proxy find each other.
+// Returns the path of the Unix socket at which the processes of one proxy connect to each other.
 std::string hot_restart_path(const config::Config& config) {
     auto name = config.name;
     std::replace(name.begin(), name.end(), '/', '_');
-    return config.scratch + "/sloestack-" + name;
+    return config.scratch_directory + "/sloestack-" + name;
 }
 
 }  // namespace
@@ -48,12 +48,12 @@
 
 Server::Server(const config::Config& config, const Clock& clock)
     : deadlines_(clock),
-      max_sockets_(config.sockets),
+      max_sockets_(config.max_sockets),
       memory_mb_(config.memory_mb),
-      client_quota_(net::divide_descriptors(config.sockets).clients),
-      overflow_quota_(net::divide_descriptors(config.sockets).overflow),
-      lingering_quota_(net::divide_descriptors(config.sockets).lingering),
-      endpoint_quota_(net::divide_descriptors(config.sockets).upstream),
+      client_quota_(net::divide_descriptors(config.max_sockets).clients),
+      overflow_quota_(net::divide_descriptors(config.max_sockets).overflow),
+      lingering_quota_(net::divide_descriptors(config.max_sockets).lingering),
+      endpoint_quota_(net::divide_descriptors(config.max_sockets).upstream),
       client_bytes_(net::client_memory_limit_bytes(config.memory_mb)),
       large_statement_budget_(net::client_memory_limit_bytes(config.memory_mb)),
       metrics_(config.settings.class_names),
@@ -61,7 +61,7 @@
       pool_(loop_, deadlines_, endpoint_quota_, pool_settings(loop_, config.settings), dispatch_loop_,
             metrics_),
       list_parser_(config.settings.zone_names),
-      known_list_(parse_known_list(list_parser_, config.known)),
+      known_list_(parse_known_list(list_parser_, config.known_list)),
       discovery_in_file_(config.discovery_in_file),
       waits_for_discovery_(!config.settings.router.discovery_is_polled) {
     watch_ = make_discovery_watch(config);
@@ -69,10 +69,10 @@
         {pool_, [this] { watch_->start(); },
          [this](auto kind, const auto& entries) { pool_.update_endpoints(kind, entries); }});
     client_listener_ = make_client_listener(config);
-    if (config.control)
-        admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.control,
+    if (config.admin_address)
+        admin_server_ = std::make_unique<admin::AdminServer>(loop_, deadlines_, *config.admin_address,
                                                              static_cast<admin::AdminHandler&>(*this));
-    if (config.passed_socket && !config.scratch.empty()) {
+    if (config.passed_socket && !config.scratch_directory.empty()) {
         hot_restart_ = std::make_unique<hot_restart::HotRestart>(
             loop_, deadlines_, hot_restart_path(config), static_cast<hot_restart::HotRestartHandler&>(*this));
         hot_restart_->start();
@@ -96,12 +96,12 @@
     return std::make_unique<downstream::ClientListener>(
         loop_, deadlines_, quotas, client_bytes_, large_statement_budget_, metrics_, listen_endpoint,
         dispatch_loop_, config.settings.class_names, overlap_allowed(router), uses_sessions(router),
-        longest_deadline(router), config.seed);
+        max_deadline(router), config.seed);
 }
 
 // ---- HotRestartHandler ----
-// The list comes after the exclusions: nothing is ever sent to an endpoint that was excluded at a
-// predecessor.
+// Applies the known list only now, after the predecessor's exclusions have been received, so that no request
+// is sent to an endpoint that was excluded at the predecessor.
 void Server::on_handover_complete() {
     exclusions_.on_endpoint_list(decision::EndpointListKind::cached, std::move(known_list_.endpoints));
     is_serving_ = true;
@@ -154,12 +154,13 @@
     hot_restart_->send_exclusion_update(endpoint, excluded, std::move(done));
 }
 
-// ---- the event loop ----
-void Server::run_iteration(Micros at_most) {
-    if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
-    loop_.run_once(at_most);
+// ---- Event loop ----
+void Server::run_iteration(Micros max_wait_us) {
+    if (const auto next = deadlines_.next()) max_wait_us = std::min(max_wait_us, *next - deadlines_.now());
+    loop_.run_once(max_wait_us);
     dispatch_loop_.run_iteration();
-    // Where lists are pushed, clients are accepted once the local agent has answered or failed.
+    // Where lists are pushed, clients are accepted once the
+    // first poll of the local agent has succeeded or failed.
     if (waits_for_discovery_ && is_serving_ && watch_->has_completed_poll()) {
         waits_for_discovery_ = false;
         client_listener_->open();
@@ -170,7 +171,7 @@
 void Server::handle_signals(std::function<config::Config()> load) {
     for (const int signal : {SIGTERM, SIGINT}) loop_.on_signal(signal, [this] { stop(); });
     loop_.on_signal(SIGHUP, [this, load = std::move(load)] {
-        // A file that cannot be used changes nothing: an error in it must not end a proxy that serves.
+        // An invalid file must not end a running proxy: the current configuration stays in force.
         try {
             reload(load());
         } catch (const std::exception& error) {
@@ -179,22 +180,22 @@
     });
 }
 
-// Only discovery's address can change while running; the rest of the file takes effect at the next start. The
-// file is used here even where EDGE_DISCOVERY was set: the environment of a running process cannot be
-// changed.
-void Server::reload(const config::Config& fresh) {
-    const auto& named = fresh.discovery_in_file;
-    if (named.empty() || named == discovery_in_file_) return log::line("reloaded", "nothing has changed");
-    const auto at = config::discovery_address(named);
-    discovery_in_file_ = named;
-    log::line("reloaded", "discovery is at " + named);
-    watch_->change_address(at, named);
+// Applies a change of discovery's address; all other settings take effect at the next start. Uses the address
+// in the file even if EDGE_DISCOVERY is set, because the environment of a running process cannot be changed.
+void Server::reload(const config::Config& reloaded) {
+    const auto& host_port = reloaded.discovery_in_file;
+    if (host_port.empty() || host_port == discovery_in_file_)
+        return log::line("reloaded", "nothing has changed");
+    const auto address = config::discovery_address(host_port);
+    discovery_in_file_ = host_port;
+    log::line("reloaded", "discovery is at " + host_port);
+    watch_->change_address(address, host_port);
 }
 
-// Sizes of whatever could grow without bound with ids, names or connections.
+// Logs the sizes of all tables that could grow without bound with ids, names or connections.
 void Server::log_table_sizes() const {
     log::line("table sizes", std::to_string(client_listener_->session_count()) + " clients, " +
-                                 std::to_string(pool_.connection_count()) + " links, " +
+                                 std::to_string(pool_.connection_count()) + " connections, " +
                                  std::to_string(dispatch_loop_.open_request_count()) + " requests, " +
                                  std::to_string(list_parser_.known_name_count()) + " names, " +
                                  std::to_string(deadlines_.size()) + " deadlines, " +
@@ -204,7 +205,7 @@
 void Server::report() {
     invariant::Counter::report();
     if (kIsDebugBuild) log_table_sizes();
-    // For deployments without an admin server.
+    // Deployments without an admin server read the metrics from the log.
     if (metrics_.total() != logged_total_) {
         logged_total_ = metrics_.total();
         log::line("metrics", metrics_json());
--- a/src/app/server/server.h
+++ b/src/app/server/server.h
@@ -1,4 +1,5 @@
-// The proxy, put together from its packages, and its event loop. main and the network tests both run it.
+// The proxy: constructs and connects its packages and runs
+// its event loop. Used by main and by the network tests.
 #pragma once
 
 #include <functional>
@@ -21,36 +22,37 @@
 
 class Server final : private admin::AdminHandler, private hot_restart::HotRestartHandler {
 public:
-    // Throws config::ConfigError, or std::runtime_error where an address cannot be listened on. The clock is
-    // not owned and outlives the server.
+    // Throws config::ConfigError, or std::runtime_error if an address cannot be listened on. The clock is not
+    // owned and must outlive the server.
     explicit Server(const config::Config& config, const Clock& clock = system_clock());
 
-    // One iteration of the event loop: waits for an event, `at_most` that long, and handles all that have
-    // come.
-    void run_iteration(Micros at_most);
-    // SIGTERM and SIGINT stop the server; SIGHUP reloads the configuration by `load`.
+    // Runs one iteration of the event loop: waits up to
+    // `max_wait_us` for an event and handles all pending events.
+    void run_iteration(Micros max_wait_us);
+    // Installs signal handlers: SIGTERM and SIGINT stop the
+    // server, SIGHUP reloads the configuration with `load`.
     void handle_signals(std::function<config::Config()> load);
+    // Stops accepting clients; the server has stopped once all clients have received their responses.
     void stop() { client_listener_->stop(hot_restart_ && hot_restart_->has_successor()); }
-    // Whether the server has stopped: all clients have had their responses.
     bool is_stopped() const { return client_listener_->is_stopped(); }
-    // Whether some endpoint is ready and clients are accepted.
+    // Returns whether an endpoint is ready and clients are accepted.
     bool ready() const override {
         return dispatch_loop_.has_ready_endpoints() && client_listener_ && client_listener_->is_accepting();
     }
     std::uint16_t port() const { return client_listener_->port(); }
-    std::uint16_t admin_port() const {
-        return admin_server_->port();
-    }  // only where the configuration names one
+    // Must be called only if the configuration has an admin address.
+    std::uint16_t admin_port() const { return admin_server_->port(); }
 
 private:
     static const Clock& system_clock();
-    void reload(const config::Config& fresh);
-    // Logs broken invariants and metrics that have changed, at intervals.
+    void reload(const config::Config& reloaded);
+    // Logs newly broken invariants and changed metrics, and schedules its next run.
     void report();
     void log_table_sizes() const;
     std::unique_ptr<discovery::DiscoveryWatch> make_discovery_watch(const config::Config& config);
     std::unique_ptr<downstream::ClientListener> make_client_listener(const config::Config& config);
-    // Tells the other processes of this proxy; `done` is called once they know or don't answer.
+    // Sends the update to the other processes of this proxy. Calls `done` as
+    // HotRestart::send_exclusion_update does, or at once if hot restart is not in use.
     void share_exclusion(const std::string& endpoint, bool excluded, Done done);
 
     // AdminHandler
@@ -74,22 +76,22 @@
     Deadlines deadlines_;
     int max_sockets_;
     std::int64_t memory_mb_;
-    net::DescriptorQuota client_quota_;     // descriptors of clients that are served,
-    net::DescriptorQuota overflow_quota_;   // of those whose requests are only rejected,
-    net::DescriptorQuota lingering_quota_;  // of those in a lingering close,
-    net::DescriptorQuota endpoint_quota_;   // and of connections to endpoints
-    net::ByteAccount client_bytes_;         // buffered for clients, in either direction
+    net::DescriptorQuota client_quota_;     // for clients that are served
+    net::DescriptorQuota overflow_quota_;   // for clients whose requests are only rejected
+    net::DescriptorQuota lingering_quota_;  // for clients in a lingering close
+    net::DescriptorQuota endpoint_quota_;   // for connections to endpoints
+    net::ByteAccount client_bytes_;         // bytes buffered for clients, in both directions
     net::MemoryBudget large_statement_budget_;
     metrics::RequestMetrics metrics_;
     dispatch::DispatchLoop dispatch_loop_;
     exclusions::Exclusions exclusions_{dispatch_loop_};
     upstream::ConnectionPool pool_;
     discovery::EndpointListParser list_parser_;
-    discovery::EndpointList known_list_;  // from the configuration; moved out when serving begins
+    discovery::EndpointList known_list_;  // from the configuration; moved from when serving begins
     std::unique_ptr<discovery::DiscoveryWatch> watch_;
-    std::string discovery_in_file_;  // as of the last load
+    std::string discovery_in_file_;  // Config::discovery_in_file of the last load
     bool is_serving_ = false;
-    bool waits_for_discovery_;  // clients are accepted once discovery has answered or failed
+    bool waits_for_discovery_;  // whether clients are not accepted before the first poll has completed
     std::unique_ptr<downstream::ClientListener> client_listener_;
     std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<hot_restart::HotRestart> hot_restart_;
--- a/src/state/hot_restart/acknowledgement_tracker.cpp
+++ b/src/state/hot_restart/acknowledgement_tracker.cpp
@@ -12,7 +12,7 @@
 void AcknowledgementTracker::expect(std::uint64_t sequence, Peers peers, std::function<void()> done) {
     if (peers.empty()) return done();
     auto& update = pending_[sequence];
-    update.missing = std::move(peers);
+    update.unacknowledged = std::move(peers);
     update.done = std::move(done);
     update.timeout.set(deadlines_, deadlines_.now() + kAcknowledgementTimeoutUs, [this, sequence] {
         const auto timed_out = pending_.extract(sequence);
@@ -23,8 +23,8 @@
 void AcknowledgementTracker::on_acknowledged(const PeerConnection& peer, std::uint64_t sequence) {
     const auto found = pending_.find(sequence);
     if (found == pending_.end()) return;
-    found->second.missing.erase(&peer);
-    if (!found->second.missing.empty()) return;
+    found->second.unacknowledged.erase(&peer);
+    if (!found->second.unacknowledged.empty()) return;
     const auto completed = pending_.extract(found);
     completed.mapped().done();
 }
@@ -32,7 +32,7 @@
 void AcknowledgementTracker::on_peer_lost(const PeerConnection& peer) {
     for (auto it = pending_.begin(); it != pending_.end();) {
         const auto sequence = it->first;
-        ++it;  // the entry may be removed
+        ++it;  // on_acknowledged may remove the entry
         on_acknowledged(peer, sequence);
     }
 }
--- a/src/state/hot_restart/acknowledgement_tracker.h
+++ b/src/state/hot_restart/acknowledgement_tracker.h
@@ -1,4 +1,5 @@
-// Exclusion updates that have been sent to other processes and are not yet acknowledged by all of them.
+// Tracks the exclusion updates that have been sent to other
+// processes and not yet acknowledged by all of them.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +15,22 @@
 
 class AcknowledgementTracker {
 public:
-    using Peers = std::set<const PeerConnection*>;  // compared only, never followed
+    using Peers = std::set<const PeerConnection*>;  // compared only, never dereferenced
 
     explicit AcknowledgementTracker(Deadlines& deadlines) : deadlines_(deadlines) {}
 
-    // Calls `done` once all peers have acknowledged the update, are lost, or have taken too long; at once
-    // where there are none. `sequence` is unique.
+    // Calls `done` once each peer has acknowledged the update or is lost,
+    // at the latest when the acknowledgement time-out expires. If `peers`
+    // is empty, `done` runs before this returns. `sequence` must be unique.
     void expect(std::uint64_t sequence, Peers peers, std::function<void()> done);
-    // Acknowledgements that nobody waits for are ignored.
+    // Ignores acknowledgements of updates that are not tracked.
     void on_acknowledged(const PeerConnection& peer, std::uint64_t sequence);
-    // No acknowledgement is expected of this peer any more.
+    // Stops waiting for acknowledgements from this peer.
     void on_peer_lost(const PeerConnection& peer);
 
 private:
     struct PendingUpdate {
-        Peers missing;
+        Peers unacknowledged;
         std::function<void()> done;
         Deadline timeout;
     };
--- a/src/state/hot_restart/hot_restart.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -12,7 +12,7 @@
 using Role = PeerConnection::Role;
 
 constexpr Micros kHandshakeTimeoutUs = 2'500'000;  // the platform waits 6 s for a new process to become ready
-constexpr Micros kMaxShrinkTimeUs = 1'000'000;     // for the requests in flight that exceed the share to end
+constexpr Micros kMaxShrinkTimeUs = 1'000'000;     // how long a predecessor may take to get within its share
 constexpr Micros kShareCheckIntervalUs = 10'000;
 
 const char* log_subject(Role role) { return role == Role::successor ? "successor" : "predecessor"; }
@@ -35,7 +35,7 @@
     predecessor->send(HandshakeRequest{});
     peers_.push_back(std::move(predecessor));
     report_process_count();
-    // A predecessor that hangs must not keep the new process from serving.
+    // A predecessor that hangs must not prevent this process from serving.
     handshake_timeout_.set(deadlines_, deadlines_.now() + kHandshakeTimeoutUs, [this] {
         log::line("predecessor", "handshake timed out");
         start_serving();
@@ -50,7 +50,8 @@
     handler_.on_handover_complete();
 }
 
-// The predecessor has found its successor by now and needs the path no more.
+// Replaces the predecessor's socket at the path. The predecessor has its connection to this process by now
+// and no longer needs the path.
 void HotRestart::listen() {
     try {
         const auto fd = listen_on_unix_socket(path_);
@@ -109,7 +110,8 @@
     acknowledgements_.on_acknowledged(peer, acknowledgement.sequence);
 }
 
-// The successor may count on its share of the limits once this process keeps within its own.
+// Completes the handshake once this process is within its share of the limits, so that the successor can use
+// its own share in full.
 void HotRestart::complete_handshake_within_share(PeerConnection& successor) {
     const bool overdue = deadlines_.now() - successor.joined_at() > kMaxShrinkTimeUs;
     if (handler_.is_within_share() || overdue) return successor.send(HandshakeComplete{});
@@ -121,13 +123,13 @@
     const auto found =
         std::find_if(peers_.begin(), peers_.end(), [&](const auto& each) { return each.get() == &peer; });
     if (found == peers_.end()) return;
-    loop_.delete_later(std::move(*found));  // it may be on the call stack
+    loop_.delete_later(std::move(*found));  // one of its functions may be on the call stack
     peers_.erase(found);
     peer.close();
     log::line(log_subject(peer.role()), "disconnected");
     acknowledgements_.on_peer_lost(peer);
     report_process_count();
-    // The predecessor may have died before the handshake was complete.
+    // The predecessor may have ended before the handshake was complete.
     if (peer.role() == Role::predecessor) start_serving();
 }
 
--- a/src/state/hot_restart/hot_restart.h
+++ b/src/state/hot_restart/hot_restart.h
@@ -1,7 +1,8 @@
-// Hot restart: an old and a new process of one proxy serve side by side until the old one has drained. They
-// find each other at a Unix socket; the old one (the predecessor) sends the new one (the successor) the
-// exclusions in force, and both send each other later changes. While both live, each uses its share of the
-// limits on sockets and memory. A process may have a predecessor and successors at once.
+// Hot restart: an old and a new process of one proxy serve side by side until the old one
+// has drained. The new process (the successor) connects to the Unix socket of the old one
+// (the predecessor). The predecessor sends the exclusions in force, and each then sends
+// the other later changes. While both run, each uses its share of the limits on sockets
+// and memory. A process may have a predecessor and successors at the same time.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +19,20 @@
 
 namespace sloestack::hot_restart {
 
-// The state that is handed over and the limits that are shared; implemented by the server.
+// Gives access to the state that is handed over and to the limits that are shared. Implemented by the server.
 class HotRestartHandler {
 public:
-    // The endpoints that operators have excluded, by their names in discovery.
+    // Returns the endpoints that operators have excluded, by their names in discovery.
     virtual const std::set<std::string>& excluded_endpoints() const = 0;
-    // The other process has excluded or included an endpoint; in force here on return.
+    // Called when another process has excluded or included
+    // an endpoint. The change must be in force on return.
     virtual void on_exclusion_update(const std::string& endpoint, bool excluded) = 0;
-    // How many processes, this one included, share the limits from now on.
+    // Called when the number of processes that share the limits changes; `processes` includes this one.
     virtual void on_process_count(int processes) = 0;
-    // Whether this process holds no more than its share of the limits.
+    // Returns whether this process uses no more than its share of the limits.
     virtual bool is_within_share() const = 0;
-    // The predecessor's state has been received, or there is none to wait for: serve. Called once.
+    // Called once, when the predecessor's state has been received or there is no predecessor to wait for. The
+    // process may serve from then on.
     virtual void on_handover_complete() = 0;
 
 protected:
@@ -38,17 +41,17 @@
 
 class HotRestart final : private PeerEvents {
 public:
-    // `path` is that of the Unix socket, the same for all processes of one proxy. All references outlive
-    // this.
+    // `path` is that of the Unix socket, the same for all processes
+    // of one proxy. All referenced objects must outlive this object.
     HotRestart(net::Loop& loop, Deadlines& deadlines, std::string path, HotRestartHandler& handler);
     ~HotRestart();
 
-    // Connects to the predecessor; where there is none handover is complete at once.
+    // Connects to the predecessor. If there is none, on_handover_complete is called before this returns.
     void start();
-    // Whether a new process has asked for the handshake and is still connected.
+    // Returns whether a successor has requested the handshake and is still connected.
     bool has_successor() const;
-    // Sends the update to all other processes. `done` is called once it is in force at all of them, or those
-    // that do not answer are given up.
+    // Sends the update to all other processes. Calls `done` once each of them has acknowledged it or has
+    // disconnected, at the latest when the acknowledgement time-out expires.
     void send_exclusion_update(const std::string& endpoint, bool excluded, std::function<void()> done);
 
 private:
@@ -64,7 +67,7 @@
 
     void start_serving();
     void listen();
-    // Nothing where the socket cannot be taken over.
+    // Takes ownership of `fd`. Returns null if no connection could be created for it.
     std::unique_ptr<PeerConnection> open_peer(evutil_socket_t fd, PeerConnection::Role role);
     void on_accepted(evutil_socket_t fd);
     void complete_handshake_within_share(PeerConnection& successor);
--- a/src/state/hot_restart/hot_restart_codec.cpp
+++ b/src/state/hot_restart/hot_restart_codec.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-// The names on the wire.
+// JSON keys and message types.
 constexpr const char* kTypeKey = "do";
 constexpr const char* kEndpointKey = "member";
 constexpr const char* kSequenceKey = "number";
--- a/src/state/hot_restart/hot_restart_codec.h
+++ b/src/state/hot_restart/hot_restart_codec.h
@@ -1,5 +1,5 @@
-// The line protocol between the old and the new process of a hot restart: one JSON object a line over a Unix
-// stream socket. The wire names are fixed, since processes of different versions talk to each other.
+// The protocol between the old and the new process of a hot restart: one JSON object per line on a Unix
+// stream socket. The keys and types must not change, because the two processes may be of different versions.
 //
 //   successor -> predecessor   {"do":"hello"}
 //   predecessor -> successor   {"do":"exclude","member":ID,"number":0} for each exclusion in force
@@ -17,34 +17,34 @@
 
 namespace sloestack::hot_restart {
 
-// The new process asks for the state of the old one.
+// The successor requests the predecessor's state.
 struct HandshakeRequest {};
 
-// The old process has sent its state: the new one may serve.
+// The predecessor has sent its state; the successor may serve.
 struct HandshakeComplete {};
 
 // An operator has excluded an endpoint from service, or has included it again.
 struct ExclusionUpdate {
     bool excluded = false;
     std::string endpoint;        // its name in discovery
-    std::uint64_t sequence = 0;  // 0 where nobody waits for the acknowledgement
+    std::uint64_t sequence = 0;  // 0 if the sender does not wait for the acknowledgement
 };
 
-// The update with this sequence number is in force at the sender.
+// The update with this sequence number is in force in the process that sends the acknowledgement.
 struct Acknowledgement {
     std::uint64_t sequence = 0;
 };
 
 using Message = std::variant<HandshakeRequest, HandshakeComplete, ExclusionUpdate, Acknowledgement>;
 
-// A peer that sends a longer line is disconnected.
+// The longest line that is read; a peer that sends a longer one is disconnected.
 constexpr std::size_t kMaxLineBytes = std::size_t{64} * 1024;
 
-// The message as a line, its newline included. An endpoint's name has to be UTF-8.
+// Returns the message as a line with its newline. An endpoint's name must be valid UTF-8.
 std::string encode(const Message& message);
 
-// Reads a line without its newline; nothing where it is not a message of this protocol. Unknown keys are
-// ignored, so that later versions may add some.
+// Parses a line without its newline. Returns std::nullopt if it is not a message of this protocol. Ignores
+// unknown keys, so that later versions can add some.
 std::optional<Message> decode(std::string_view line);
 
 }  // namespace sloestack::hot_restart
--- a/src/state/hot_restart/peer_connection.h
+++ b/src/state/hot_restart/peer_connection.h
@@ -1,5 +1,5 @@
-// This process's end of the socket to its predecessor or to a successor: frames lines, decodes messages and
-// holds how far the handshake has come.
+// The connection to the predecessor or to a successor: splits the input into lines, decodes messages and
+// keeps the state of the handshake.
 #pragma once
 
 #include <memory>
@@ -12,11 +12,12 @@
 
 class PeerConnection;
 
-// Callbacks of a connection, implemented by the owner of the connections.
+// Callbacks of a connection. Implemented by the owner of the connections.
 class PeerEvents {
 public:
     virtual void on_message(PeerConnection& peer, const Message& message) = 0;
-    // The connection has ended, or the peer has sent what is no message of the protocol.
+    // The connection has ended, or the peer has sent a line
+    // that is not a message of the protocol or is too long.
     virtual void on_disconnected(PeerConnection& peer) = 0;
 
 protected:
@@ -27,23 +28,23 @@
 public:
     enum class Role { predecessor, successor };
 
-    // Takes over the socket. `events` outlives the connection.
+    // Takes ownership of `fd`. `events` must outlive the connection.
     PeerConnection(net::Loop& loop, evutil_socket_t fd, Role role, PeerEvents& events);
 
-    // False where the socket could not be taken over.
+    // Returns whether a connection could be created for the socket. If not, the object can only be destroyed.
     bool is_open() const { return connection_ != nullptr; }
     Role role() const { return role_; }
-    // Whether the peer shares this process's limits and is sent updates. A successor does so from its
-    // handshake request on: until then it may be any process that has connected.
+    // Returns whether the peer shares this process's limits and receives updates: a predecessor always, a
+    // successor from its handshake request on. Until then the peer may be any process that has connected.
     bool is_joined() const { return state_ == State::joined; }
-    // When a successor asked for the handshake last.
+    // Returns the time of a successor's last handshake request.
     Time joined_at() const { return joined_at_; }
-    // When to look again whether a successor's handshake can be completed.
+    // The timer for the next check whether a successor's handshake can be completed.
     Deadline& handshake_retry() { return handshake_retry_; }
 
     void send(const Message& message);
     void on_handshake_request(Time now);
-    // No more is read; the owner destroys the connection when it is off the call stack.
+    // Stops reading. The owner destroys the connection when none of its functions is on the call stack.
     void close();
 
     void received() override;
--- a/src/state/hot_restart/unix_socket.cpp
+++ b/src/state/hot_restart/unix_socket.cpp
@@ -13,7 +13,7 @@
 constexpr int kListenBacklog = 4;  // connections
 constexpr int kSocketType = SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC;
 
-// Nothing where the path is longer than an address may be.
+// Returns std::nullopt if the path is too long for a socket address.
 std::optional<sockaddr_un> address_of(const std::string& path) {
     sockaddr_un address = {};
     address.sun_family = AF_UNIX;
@@ -38,7 +38,7 @@
 
 evutil_socket_t listen_on_unix_socket(const std::string& path) {
     const auto address = address_of(path);
-    if (!address) throw SocketError("the path is too long: " + path);
+    if (!address) throw SocketError("path is too long for a Unix socket: " + path);
     const auto fd = socket(AF_UNIX, kSocketType, 0);
     unlink(path.c_str());
     if (fd >= 0 && bind(fd, generic(*address), sizeof *address) == 0 && listen(fd, kListenBacklog) == 0)
--- a/src/state/hot_restart/unix_socket.h
+++ b/src/state/hot_restart/unix_socket.h
@@ -13,11 +13,12 @@
     using std::runtime_error::runtime_error;
 };
 
-// A socket connected to whoever listens at `path`; nothing where nobody does. The caller owns it.
+// Returns a socket connected to the listener at `path`, or std::nullopt
+// if the connection failed. The caller owns the descriptor.
 std::optional<evutil_socket_t> connect_unix_socket(const std::string& path);
 
-// A socket that listens at `path`, in place of whatever was there before. The caller owns it. Throws
-// SocketError.
+// Removes the file at `path`, if any, and returns a socket that
+// listens there. The caller owns the descriptor. Throws SocketError.
 evutil_socket_t listen_on_unix_socket(const std::string& path);
 
 }  // namespace sloestack::hot_restart
--- a/tests/app/config_test.cpp
+++ b/tests/app/config_test.cpp
@@ -1,4 +1,4 @@
-// The deploy file: flattening of settings, and errors that name the key at fault.
+// The configuration: flattening of nested settings, and errors that name the invalid key.
 #include "config/config.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
         "a.b.count=2\na.b.0.c=true\na.b.1.c=x_y\na.d=1,2.5\na.e=\nf=\n");
 }
 
-TEST(Config, ErrorsNameTheKeyAtFault) {
+TEST(Config, ErrorsNameTheInvalidKey) {
     const auto message = [](const json& file, const char* listen = nullptr) -> std::string {
         try {
             config::parse(file, [&](const char* name) {
--- a/tests/state/hot_restart_codec_test.cpp
+++ b/tests/state/hot_restart_codec_test.cpp
@@ -1,4 +1,5 @@
-// The exact bytes of the protocol between an old and a new process: versions in service depend on them.
+// The exact bytes of the protocol between an old and a new process. They must not change, because the two
+// processes may be of different versions.
 #include "hot_restart/hot_restart_codec.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
     EXPECT_EQ(encode(Acknowledgement{7}), "{\"do\":\"held\",\"number\":7}\n");
 }
 
-TEST(HotRestartCodec, EscapesWhatWouldEndTheLine) {
+TEST(HotRestartCodec, EscapesNewlinesQuotesAndBackslashes) {
     EXPECT_EQ(encode(ExclusionUpdate{true, "a\n\"b\\\xc3\xa9", 1}),
               "{\"do\":\"exclude\",\"member\":\"a\\n\\\"b\\\\\xc3\xa9\",\"number\":1}\n");
 }
@@ -35,16 +36,16 @@
     EXPECT_FALSE(included.excluded);
     EXPECT_EQ(included.endpoint, "");
     EXPECT_EQ(included.sequence, 0u);
-    const auto held =
+    const auto acknowledgement =
         std::get<Acknowledgement>(decode(R"({"do":"held","number":18446744073709551615})").value());
-    EXPECT_EQ(held.sequence, 18'446'744'073'709'551'615u);
+    EXPECT_EQ(acknowledgement.sequence, 18'446'744'073'709'551'615u);
 }
 
 TEST(HotRestartCodec, IgnoresUnknownKeys) {
     EXPECT_TRUE(std::holds_alternative<HandshakeRequest>(decode(R"({"do":"hello","age":1})").value()));
 }
 
-TEST(HotRestartCodec, RejectsWhatIsNoMessage) {
+TEST(HotRestartCodec, RejectsMalformedLines) {
     for (const char* line : {"",
                              "hello",
                              "[]",
