--- a/src/base/deadlines/clock.h
+++ b/src/base/deadlines/clock.h
@@ -1,5 +1,5 @@
-// The program's only clock: Unix time in microseconds that never goes back. Wall time is read once, at
-// start-up, and carried on by the monotonic clock, so that a step of the system's clock moves no deadline.
+// The program's only clock: Unix time in microseconds that never goes back. The wall clock is read once, at
+// start-up; from then on the monotonic clock is used, so that a step of the wall clock moves no deadline.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
     Clock(const Clock&) = delete;
     Clock& operator=(const Clock&) = delete;
     virtual ~Clock() = default;
-    // Overridden in tests by clocks that stand still until they are moved.
+    // Overridden in tests by clocks that are set by the test.
     virtual Time now() const { return anchor_ + micros(std::chrono::steady_clock::now() - started_); }
 
 private:
--- a/src/base/deadlines/deadlines.cpp
+++ b/src/base/deadlines/deadlines.cpp
@@ -34,7 +34,7 @@
     while (!entries_.empty()) {
         const auto earliest = entries_.begin();
         const auto [at, sequence] = earliest->first;
-        // One that a callback has set for now or earlier sorts behind those that were due before it.
+        // A deadline that a callback of this call has set for a time already past is left for the next call.
         if (at > now || sequence >= first_new) return;
         auto entry = std::move(earliest->second);
         if (entry.owner) entry.owner->deadlines_ = nullptr;
--- a/src/base/deadlines/deadlines.h
+++ b/src/base/deadlines/deadlines.h
@@ -1,5 +1,5 @@
-// Timers of the single-threaded event loop: every deadline of the program in one sorted structure, swept once
-// an iteration. Nothing else sets a timer.
+// Timers of the single-threaded event loop: all deadlines of the program in one sorted map. Those that are
+// due run once per event-loop iteration. No other code sets timers.
 #pragma once
 
 #include <cstddef>
@@ -15,8 +15,8 @@
 
 class Deadlines;
 
-// A deadline owned by the object that waits for it: its callback never runs after this is cleared, set anew
-// or destroyed. Unset once the callback runs.
+// A deadline owned by the object that waits for it. Its callback does not run after the Deadline is cleared,
+// set again or destroyed. The Deadline is unset when its callback starts.
 class Deadline {
 public:
     Deadline() = default;
@@ -24,7 +24,8 @@
     Deadline(const Deadline&) = delete;
     Deadline& operator=(const Deadline&) = delete;
 
-    // Runs `callback` in the first sweep at or after `at`.
+    // Runs `callback` in the first Deadlines::run_due() at or
+    // after `at`. Replaces a callback that is set already.
     void set(Deadlines& deadlines, Time at, std::function<void()> callback);
     void clear();
     bool is_set() const { return deadlines_ != nullptr; }
@@ -37,19 +38,20 @@
 
 class Deadlines {
 public:
-    // The clock is not owned and outlives this.
+    // The clock is not owned and must outlive this object.
     explicit Deadlines(const Clock& clock) : clock_(clock) {}
     Deadlines(const Deadlines&) = delete;
     Deadlines& operator=(const Deadlines&) = delete;
     ~Deadlines();
 
     Time now() const { return clock_.now(); }
-    // A deadline without an owner: it can't be cleared, so the callback must not outlive what it refers to.
+    // Adds a deadline without an owner. It cannot be cleared,
+    // so what the callback refers to must outlive this object.
     void add(Time at, std::function<void()> callback);
-    // When the earliest is due; nothing where none is set.
+    // Returns when the earliest deadline is due, or std::nullopt if none is set.
     std::optional<Time> next() const;
-    // Runs what is due, earliest first, equal ones in the order they were set. What a callback sets for a
-    // time already past waits for the next sweep.
+    // Runs the callbacks that are due, in order of time and, for equal times, in the order they were set. A
+    // deadline that a callback sets for a time already past runs in the next call.
     void run_due();
     std::size_t size() const { return entries_.size(); }
 
@@ -60,7 +62,7 @@
         Deadline* owner;
     };
     const Clock& clock_;
-    std::map<std::pair<Time, std::uint64_t>, Entry> entries_;  // by time, then by order of setting
+    std::map<std::pair<Time, std::uint64_t>, Entry> entries_;  // by time, then by sequence number
     std::uint64_t next_sequence_ = 0;
 };
 
--- a/src/base/histogram/histogram.h
+++ b/src/base/histogram/histogram.h
@@ -1,5 +1,5 @@
-// A histogram of durations in fixed memory: its buckets grow with the value, so that a quantile is right to
-// within 1/32 of itself at any size. The layout is that of HdrHistogram (http://hdrhistogram.org).
+// A histogram of durations in fixed memory. The bucket width grows with the value, so that the relative error
+// of a quantile is at most 1/32. The layout is that of HdrHistogram (http://hdrhistogram.org).
 #pragma once
 
 #include <algorithm>
@@ -11,17 +11,17 @@
 
 class Histogram {
 public:
-    // Negative values are counted as 0, those beyond 2^40 (12 days of microseconds) as 2^40.
+    // Counts negative values as 0 and values above 2^40 (12 days in microseconds) as 2^40.
     void add(std::int64_t value) {
         ++buckets_[bucket_of(std::clamp<std::int64_t>(value, 0, kMaxValue))];
         ++count_;
         max_ = std::max(max_, value);
     }
     std::uint64_t count() const { return count_; }
-    // The largest value added; 0 where there is none above it.
+    // Returns the largest value added, or 0 if no value is above 0.
     std::int64_t max() const { return max_; }
-    // The least value that at least `ratio` (0 to 1) of all values are not above; 0 where there are none. It
-    // is the upper edge of its bucket, so never too small, and no larger than max().
+    // Returns the smallest value that at least the share `ratio` (0 to 1) of all values do not exceed, or 0
+    // if there are no values. The result is rounded up to the upper edge of its bucket, but not above max().
     std::int64_t quantile(double ratio) const {
         const double wanted = std::ceil(std::clamp(ratio, 0.0, 1.0) * static_cast<double>(count_));
         std::uint64_t cumulated = 0;
--- a/src/base/invariant/invariant.h
+++ b/src/base/invariant/invariant.h
@@ -1,5 +1,6 @@
-// Invariants: asserted in debug builds; in release builds counted and logged. A broken invariant is a fault
-// of the program, never of a peer; the code that checks one must also carry on safely when it does not hold.
+// Invariants: asserted in debug builds, counted and logged in release
+// builds. A broken invariant is a fault of the program, never of a peer. The
+// code that checks an invariant must continue safely if it does not hold.
 #pragma once
 
 #include <cassert>
@@ -7,8 +8,8 @@
 
 namespace sloestack::invariant {
 
-// One counter for each place that checks an invariant. Counters live as long as the program and are linked so
-// that they can be reported.
+// Counts how often one check of an invariant failed. Counters live as long as the program and form a linked
+// list, which report() walks.
 class Counter {
 public:
     // `name` is not copied.
@@ -16,7 +17,7 @@
     Counter(const Counter&) = delete;
     Counter& operator=(const Counter&) = delete;
 
-    // Returns `condition`, and counts it where it is false.
+    // Returns `condition`, and increments the counter if it is false.
     bool holds(bool condition) {
         if (!condition) ++broken_;
         return condition;
@@ -24,7 +25,7 @@
     std::uint64_t broken() const { return broken_; }
     const char* name() const { return name_; }
 
-    // Logs every counter that has risen since the last call.
+    // Logs every counter that has increased since the last call.
     static void report();
 
 private:
@@ -37,7 +38,8 @@
 
 }  // namespace sloestack::invariant
 
-// Evaluates to whether the condition holds. `name`, a string literal, says what must hold, in a few words.
+// Evaluates to whether the condition holds. `name` is a
+// string literal that states the invariant in a few words.
 #define SLOESTACK_INVARIANT(condition, name)                                \
     ([](bool holds_) {                                                      \
         static ::sloestack::invariant::Counter counter_(name);              \
--- a/src/base/metrics/metric_names.h
+++ b/src/base/metrics/metric_names.h
@@ -1,5 +1,5 @@
-// The names by which the operators' JSON calls outcomes and reasons. They are the interface of the operators'
-// tools and stay, whatever the enumerators are called.
+// The names of outcomes and rejection reasons in the metrics JSON. Operators' tools depend on them: they must
+// not change when an enumerator is renamed.
 #pragma once
 
 #include "sloestack/router.h"
--- a/src/base/metrics/metrics.cpp
+++ b/src/base/metrics/metrics.cpp
@@ -31,25 +31,25 @@
     return request_class >= 0 && index < classes_.size() ? &classes_[index] : nullptr;
 }
 
-void RequestMetrics::raise(std::uint64_t& counter) {
+void RequestMetrics::increment(std::uint64_t& counter) {
     ++counter;
     ++total_;
 }
 
 void RequestMetrics::count_response(int request_class, ResponseKind kind) {
-    if (auto* counters = find(request_class)) raise(counters->responses[index_of(kind)]);
+    if (auto* counters = find(request_class)) increment(counters->responses[index_of(kind)]);
 }
 
 void RequestMetrics::count_attempt_sent(int request_class) {
-    if (auto* counters = find(request_class)) raise(counters->attempts_sent);
+    if (auto* counters = find(request_class)) increment(counters->attempts_sent);
 }
 
 void RequestMetrics::count_unserved(int request_class, decision::RejectionReason reason) {
-    if (auto* counters = find(request_class)) raise(counters->reasons[index_of(reason)]);
+    if (auto* counters = find(request_class)) increment(counters->reasons[index_of(reason)]);
 }
 
 void RequestMetrics::count_attempt_ended(int request_class, decision::Outcome outcome) {
-    if (auto* counters = find(request_class)) raise(counters->outcomes[index_of(outcome)]);
+    if (auto* counters = find(request_class)) increment(counters->outcomes[index_of(outcome)]);
 }
 
 std::string RequestMetrics::to_json(const Gauges& gauges) const {
--- a/src/base/metrics/metrics.h
+++ b/src/base/metrics/metrics.h
@@ -1,6 +1,6 @@
-// The metrics that operators read as JSON. Each counter has one place where it is raised: responses where the
-// client gets them, attempts where their last byte has been written, reasons where the decision module
-// rejects or fails a request, and outcomes where an attempt ends.
+// The metrics that operators read as JSON. Each counter is incremented in one place: responses when they are
+// sent to the client, attempts when their last byte has been written, reasons when the decision module
+// rejects or fails a request, and outcomes when an attempt ends.
 #pragma once
 
 #include <array>
@@ -13,11 +13,11 @@
 
 namespace sloestack::metrics {
 
-// How a request ended for its client.
+// The kind of response that a client received.
 enum class ResponseKind { served, rejected, failed };
 constexpr std::size_t kResponseKindCount = static_cast<std::size_t>(ResponseKind::failed) + 1;
 
-// What is measured at the moment of the read rather than counted.
+// Values that are measured when the metrics are read.
 struct Gauges {
     std::size_t open_requests = 0;
     std::size_t listed_endpoints = 0;
@@ -28,15 +28,16 @@
 public:
     explicit RequestMetrics(std::vector<std::string> class_names);
 
-    // `request_class` is an index into the class names; an unknown one (-1) is not counted.
+    // `request_class` is an index into the class names. An index out of range, such as -1 for an unknown
+    // class, is not counted.
     void count_response(int request_class, ResponseKind kind);
     void count_attempt_sent(int request_class);
     void count_unserved(int request_class, decision::RejectionReason reason);
     void count_attempt_ended(int request_class, decision::Outcome outcome);
 
-    // The sum of all counters, by which a reader sees whether anything has changed.
+    // Returns the sum of all counters, which changes whenever a counter does.
     std::uint64_t total() const { return total_; }
-    // Every name is there from the start, its count 0 until it is raised.
+    // Returns the metrics as a JSON object, with all names, also those whose count is 0.
     std::string to_json(const Gauges& gauges) const;
 
 private:
@@ -48,7 +49,7 @@
         std::array<std::uint64_t, decision::kOutcomeCount> outcomes = {};
     };
     ClassCounters* find(int request_class);
-    void raise(std::uint64_t& counter);
+    void increment(std::uint64_t& counter);
 
     std::vector<ClassCounters> classes_;
     std::uint64_t total_ = 0;
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -9,7 +9,7 @@
 using decision::Micros;
 
 constexpr std::size_t kMaxTextBytes = std::numeric_limits<std::uint16_t>::max();
-constexpr Micros kMaxWireUs = std::numeric_limits<std::uint32_t>::max();
+constexpr Micros kMaxEncodedUs = std::numeric_limits<std::uint32_t>::max();
 constexpr std::uint8_t kPollDiscoveryBody = 1;
 
 void put_header(std::vector<unsigned char>& frame, std::size_t offset, std::uint32_t value) {
@@ -31,7 +31,7 @@
 }
 
 void ReplyWriter::put_micros(Micros value) {
-    put(static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, kMaxWireUs)));
+    put(static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, kMaxEncodedUs)));
 }
 
 void ReplyWriter::add_text(ActionCode code, std::string_view text) {
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,5 +1,5 @@
-// The framing of the simulator's wire: reads big-endian fields out of a record and writes records into a
-// reply.
+// The framing of the simulator's protocol: reads big-endian
+// fields from a record and writes records to a reply.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,30 @@
 
 namespace sloestack::simulator {
 
-// A frame that cannot be read; `offset` counts bytes from the frame's beginning.
-struct BadFrame : std::runtime_error {
-    BadFrame(std::size_t offset, const std::string& why)
-        : std::runtime_error("bad frame at byte " + std::to_string(offset) + ": " + why) {}
+// The error for a malformed frame. `offset` is the position
+// of the fault, in bytes from the beginning of the frame.
+struct FrameError : std::runtime_error {
+    FrameError(std::size_t offset, const std::string& reason)
+        : std::runtime_error("malformed frame at byte " + std::to_string(offset) + ": " + reason) {}
 };
 
-// Time (8 bytes), the frame's size and the count of its records (4 bytes each).
+// The header of a batch: time (8 bytes), frame size and number of records (4 bytes each).
 constexpr std::size_t kBatchHeaderBytes = 16;
 constexpr std::size_t kBatchSizeOffset = 8;
-// The count of records and the frame's size (4 bytes each).
+// The header of a reply: number of records and frame size (4 bytes each).
 constexpr std::size_t kReplyHeaderBytes = 8;
 constexpr std::uint32_t kMaxFrameBytes = 1U << 30;
 
-// Reads fields one after the other; does not own the data. Each read throws BadFrame where it would go past
-// the end.
+// Reads consecutive fields; does not own the data. A read beyond the end throws FrameError.
 class FieldReader {
 public:
-    // `offset` is where the data begins in its frame.
+    // `offset` is the position of `data` in its frame.
     FieldReader(const unsigned char* data, std::size_t size, std::size_t offset)
-        : next_(data), left_(size), offset_(offset) {}
+        : next_(data), bytes_left_(size), offset_(offset) {}
 
     template <class Integer>
     Integer uint() {
-        need(sizeof(Integer));
+        require(sizeof(Integer));
         Integer value = 0;
         for (std::size_t i = 0; i < sizeof(Integer); ++i)
             value = static_cast<Integer>((static_cast<std::uint64_t>(value) << 8) | next_[i]);
@@ -50,34 +50,35 @@
         std::memcpy(&value, &bits, sizeof value);
         return value;
     }
-    // A reader of the next `size` bytes alone, which are skipped here.
+    // Returns a reader of the next `size` bytes, and skips them.
     FieldReader part(std::size_t size) {
-        need(size);
+        require(size);
         const FieldReader out(next_, size, offset_);
         skip(size);
         return out;
     }
     std::string_view bytes(std::size_t size) {
-        need(size);
+        require(size);
         const std::string_view out(reinterpret_cast<const char*>(next_), size);
         skip(size);
         return out;
     }
-    std::size_t left() const { return left_; }
+    std::size_t bytes_left() const { return bytes_left_; }
     std::size_t offset() const { return offset_; }
 
 private:
-    void need(std::size_t size) const {
-        if (size > left_) throw BadFrame(offset_, "a field or count runs past its end");
+    void require(std::size_t size) const {
+        if (size > bytes_left_)
+            throw FrameError(offset_, "a field or record extends beyond the end of its data");
     }
     void skip(std::size_t size) {
         next_ += size;
-        left_ -= size;
+        bytes_left_ -= size;
         offset_ += size;
     }
 
     const unsigned char* next_;
-    std::size_t left_;
+    std::size_t bytes_left_;
     std::size_t offset_;
 };
 
@@ -85,11 +86,11 @@
 class ReplyWriter {
 public:
     ReplyWriter() { clear(); }
-    // Begins a new frame.
+    // Starts a new frame.
     void clear();
-    // The actions that follow are this instance's.
+    // Writes a record that assigns the actions that follow to this instance.
     void add_instance(std::uint16_t number);
-    // Texts are cut to 65,535 bytes, which the wire's length can count.
+    // Texts are truncated to 65,535 bytes, the largest length that the length field can hold.
     void add_fault(std::string_view text);
     void add_action(const decision::Action& action);
     // Completes the header and returns the frame, which is valid until the next clear().
@@ -102,7 +103,7 @@
             frame_.push_back(static_cast<unsigned char>(static_cast<std::uint64_t>(value) >> shift));
     }
     void begin(ActionCode code, std::size_t body_bytes);
-    // The number of microseconds, held to the wire's 32 bits.
+    // Writes a duration as 32 bits; values out of their range become 0 or the largest value.
     void put_micros(decision::Micros value);
     void add_text(ActionCode code, std::string_view text);
 
--- a/src/simulator_adapter/event_codec.cpp
+++ b/src/simulator_adapter/event_codec.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kEndpointEntryBytes = 27;
 constexpr Micros kMicrosPerMillisecond = 1'000;
 constexpr double kMicrosPerSecond = 1e6;
-// A reported position beyond this many seconds after the base is not believed.
+// Reported positions of this many seconds after the base, or more, are discarded as implausible.
 constexpr double kMaxReportedPositionSeconds = 1e7;
 
 ReplicationStatus read_status(FieldReader& in, Time position_base) {
@@ -48,7 +48,7 @@
     EndpointEntry out;
     out.size = in.real();
     out.replica_group = in.uint<std::uint16_t>();
-    in.uint<std::uint16_t>();  // the machine's kind, which the router does not use
+    in.uint<std::uint16_t>();  // the machine type, which the router does not use
     out.endpoint = in.uint<std::uint32_t>();
     out.zone = in.uint<std::uint16_t>();
     out.listed_primary = in.real() == 1.0F;
@@ -63,8 +63,8 @@
     NumberedList out;
     out.number = in.uint<std::uint8_t>();
     const auto count = in.uint<std::uint32_t>();
-    if (static_cast<std::uint64_t>(count) * kEndpointEntryBytes > in.left())
-        throw BadFrame(in.offset(), "list entries run past their record");
+    if (static_cast<std::uint64_t>(count) * kEndpointEntryBytes > in.bytes_left())
+        throw FrameError(in.offset(), "the list entries extend beyond the end of their record");
     auto entries = std::make_shared<std::vector<EndpointEntry>>();
     entries->reserve(count);
     for (std::uint32_t i = 0; i < count; ++i) entries->push_back(read_entry(in));
@@ -73,7 +73,7 @@
 }
 
 ListReference read_list_reference(FieldReader& in) {
-    in.uint<std::uint32_t>();  // not used by the router
+    in.uint<std::uint32_t>();  // a field that the router does not use
     ListReference out;
     out.kind = endpoint_list_kind_of(in.uint<std::uint8_t>());
     out.number = in.uint<std::uint8_t>();
@@ -90,12 +90,12 @@
     const auto work_us = in.uint<std::uint32_t>();
     const float group = in.real();
     const float write_age_ms = in.real();
-    const auto bits = in.uint<std::uint16_t>();
+    const auto flags = in.uint<std::uint16_t>();
     out.replica_group = std::isfinite(group) ? static_cast<int>(group) : -1;
-    if (bits & kArrivalHasWorkHint) out.work_hint_us = work_us;
+    if (flags & kArrivalHasWorkHint) out.work_hint_us = work_us;
     if (std::isfinite(write_age_ms) && write_age_ms > 0)
         out.last_write_age_us = static_cast<Micros>(std::llround(write_age_ms * 1000.0));
-    out.is_retry = (bits & kArrivalIsRetry) != 0;
+    out.is_retry = (flags & kArrivalIsRetry) != 0;
     return out;
 }
 
--- a/src/simulator_adapter/event_codec.h
+++ b/src/simulator_adapter/event_codec.h
@@ -1,5 +1,5 @@
-// Reads the fields of one record of a batch into an event of the decision module. Each function takes the
-// record's fields in their order on the wire, skips none, and throws BadFrame where the record is too short.
+// Converts one record of a batch to an event of the decision module. Each function reads the record's fields
+// in order and throws FrameError if the record is too short.
 #pragma once
 
 #include <memory>
@@ -14,16 +14,16 @@
 
 using EndpointEntries = std::shared_ptr<const std::vector<decision::EndpointEntry>>;
 
-// The contents of an endpoint list, with the number that later records refer to it by.
+// The contents of an endpoint list, with the number by which later records refer to it.
 struct NumberedList {
     std::uint8_t number = 0;
     EndpointEntries entries;
 };
 NumberedList read_list_contents(FieldReader& in);
 
-// A reference to such a list.
+// A reference to a numbered list.
 struct ListReference {
-    std::optional<decision::EndpointListKind> kind;  // nothing for a kind this build does not know
+    std::optional<decision::EndpointListKind> kind;  // std::nullopt if this build does not know the kind
     std::uint8_t number = 0;
 };
 ListReference read_list_reference(FieldReader& in);
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -15,20 +15,21 @@
     selected_.reset();
     FieldReader in(frame.data(), frame.size(), 0);
     const auto now = static_cast<Time>(in.uint<std::uint64_t>());
-    in.uint<std::uint32_t>();  // the frame's size, which the reader of the frame has used
+    in.uint<std::uint32_t>();  // the frame size; the caller has read the frame by it
     const auto count = in.uint<std::uint32_t>();
     for (std::uint32_t i = 0; i < count; ++i) {
         const auto code = in.uint<std::uint16_t>();
         const auto size = in.uint<std::uint32_t>();
         handle_record(code, in.part(size));
     }
-    if (in.left()) throw BadFrame(in.offset(), "bytes left over after the last record");
+    if (in.bytes_left()) throw FrameError(in.offset(), "bytes after the last record");
     step_instances(now);
     return reply_.finish();
 }
 
 Host::Instance& Host::selected_instance() {
-    if (!selected_) throw BadFrame(kBatchHeaderBytes, "an event before any instance was named");
+    if (!selected_)
+        throw FrameError(kBatchHeaderBytes, "a record for an instance before any instance was selected");
     auto& instance = instances_[*selected_];
     if (!instance.in_batch) batch_order_.push_back(*selected_);
     instance.in_batch = true;
@@ -74,7 +75,7 @@
             return;
         }
     }
-    // Any other code is a record this build does not know, and is skipped.
+    // Records with other codes are not known to this build and are skipped.
 }
 
 void Host::start_instance(FieldReader in) {
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -1,4 +1,4 @@
-// Hosts many router instances in one process: gives each its events of a batch and collects its actions.
+// Runs many router instances in one process: passes each its events of a batch and collects its actions.
 #pragma once
 
 #include <array>
@@ -21,9 +21,9 @@
 
 class Host {
 public:
-    // Takes one whole batch frame, header included, and returns the whole reply frame, which is valid until
-    // the next call. Settings that cannot be run are a fault of their instance, reported in the reply. Throws
-    // BadFrame for a frame that cannot be read; the host is of no further use then.
+    // Processes one complete batch frame with its header and returns the complete reply frame, which is valid
+    // until the next call. Invalid settings are reported in the reply as a fault of their instance. Throws
+    // FrameError for a malformed frame; the host must not be used after that.
     const std::vector<unsigned char>& handle_batch(const std::vector<unsigned char>& frame);
 
 private:
@@ -31,10 +31,10 @@
     static constexpr std::size_t kMaxLists = std::numeric_limits<std::uint8_t>::max() + std::size_t{1};
 
     struct Instance {
-        std::unique_ptr<decision::Router> router;  // null while stopped or at fault
+        std::unique_ptr<decision::Router> router;  // null while stopped, or if it could not be started
         InstanceSettings settings;
-        std::vector<decision::Event> events;  // of this batch
-        std::string fault;                    // why it could not be started; empty once reported
+        std::vector<decision::Event> events;  // of the current batch
+        std::string fault;                    // why it could not be started; cleared once reported
         bool in_batch = false;
     };
 
@@ -44,12 +44,13 @@
     void add_endpoint_list(FieldReader in);
     void step_instances(decision::Time now);
     void step(InstanceNumber number, Instance& instance, decision::Time now);
-    // The instance that the records at hand are for. Throws BadFrame where none was named.
+    // Returns the instance that the current record is for. Throws FrameError if none has been selected.
     Instance& selected_instance();
 
     std::map<InstanceNumber, Instance> instances_;
     std::array<EndpointEntries, kMaxLists> lists_;
-    std::vector<InstanceNumber> batch_order_;  // instances of this batch, as first named
+    std::vector<InstanceNumber>
+        batch_order_;  // instances of the current batch, in the order of their first record
     std::optional<InstanceNumber> selected_;
     std::vector<decision::Action> actions_;
     ReplyWriter reply_;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// Reads batches on standard input and writes one reply a batch on standard output.
+// Reads batches from standard input and writes one reply per batch to standard output.
 #include <cstdio>
 #include <exception>
 #include <string>
@@ -11,21 +11,22 @@
 
 using namespace sloestack::simulator;
 
-// False at a clean end of input; throws BadFrame when the input ends inside a frame.
+// Returns false if the input ends before a frame begins. Throws FrameError if it ends inside a frame or the
+// frame size is invalid.
 bool read_frame(std::vector<unsigned char>& frame) {
     frame.resize(kBatchHeaderBytes);
     const auto header_bytes = std::fread(frame.data(), 1, frame.size(), stdin);
     if (header_bytes == 0) return false;
-    if (header_bytes < frame.size()) throw BadFrame(header_bytes, "input ends inside a header");
+    if (header_bytes < frame.size()) throw FrameError(header_bytes, "input ends inside a header");
     FieldReader header(frame.data() + kBatchSizeOffset, sizeof(std::uint32_t), kBatchSizeOffset);
     const auto size = header.uint<std::uint32_t>();
     if (size < kBatchHeaderBytes || size > kMaxFrameBytes)
-        throw BadFrame(kBatchSizeOffset, "impossible frame size " + std::to_string(size));
+        throw FrameError(kBatchSizeOffset, "invalid frame size " + std::to_string(size));
     frame.resize(size);
-    const auto wanted_bytes = size - kBatchHeaderBytes;
-    const auto body_bytes = std::fread(frame.data() + kBatchHeaderBytes, 1, wanted_bytes, stdin);
-    if (body_bytes < wanted_bytes)
-        throw BadFrame(kBatchHeaderBytes + body_bytes, "input ends inside a frame");
+    const auto expected_bytes = size - kBatchHeaderBytes;
+    const auto body_bytes = std::fread(frame.data() + kBatchHeaderBytes, 1, expected_bytes, stdin);
+    if (body_bytes < expected_bytes)
+        throw FrameError(kBatchHeaderBytes + body_bytes, "input ends inside a frame");
     return true;
 }
 
--- a/src/simulator_adapter/record_codes.h
+++ b/src/simulator_adapter/record_codes.h
@@ -1,4 +1,4 @@
-// The codes and field values of the simulator's wire, and what each means to the decision module.
+// The record codes and field values of the simulator's protocol, and what they mean to the decision module.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 // Records of a batch, from the simulator.
 enum class EventCode : std::uint16_t {
-    endpoint_list_contents = 1000,  // a numbered list, which an endpoint_list record refers to
+    endpoint_list_contents = 1000,  // a numbered list, to which endpoint_list records refer
     timer_fired = 1010,
     client_disconnected = 1020,
     instance_stopped = 1040,
@@ -21,7 +21,7 @@
     endpoint_list = 1080,
     attempt_ended = 1090,
     answer_started = 1100,
-    instance_selected = 1110,  // the records that follow are for this instance
+    instance_selected = 1110,  // assigns the records that follow to an instance
 };
 
 // Records of a reply, to the simulator.
@@ -33,27 +33,28 @@
     set_timer = 1040,
     start_health_check = 1050,
     log = 1080,
-    instance_fault = 1090,  // an instance's settings cannot be run, and why
+    instance_fault = 1090,  // why an instance cannot run with its settings
     poll_discovery = 1100,
     instance_selected = 1120,
 };
 
-// Bits of an arrival.
+// Flags of an arrival.
 constexpr std::uint16_t kArrivalHasWorkHint = 1;
 constexpr std::uint16_t kArrivalIsRetry = 2;
 
-// The replication status of an answer: two bits of role, above them the position in milliseconds after the
-// position base, 0 where there is none.
+// The replication status in an attempt's end: two bits for the role, above them the position in milliseconds
+// after the position base, or 0 for no position.
 constexpr std::uint32_t kStatusRoleMask = 3;
 constexpr int kStatusPositionShift = 2;
 
-// An attempt's or a health check's status; nothing for a status this build does not know.
+// Returns the outcome of an attempt or a health check, or
+// std::nullopt for a status that this build does not know.
 std::optional<decision::Outcome> outcome_of(std::uint16_t status);
-// Nothing for a kind this build does not know.
+// Returns std::nullopt for a kind that this build does not know.
 std::optional<decision::EndpointListKind> endpoint_list_kind_of(std::uint8_t kind);
-// An unknown state counts as removed.
+// Returns EndpointState::removed for an unknown state.
 decision::EndpointState endpoint_state_of(std::uint8_t state);
-// An unknown role counts as Role::unknown.
+// Returns Role::unknown for an unknown role.
 decision::Role role_of(std::uint32_t role);
 
 }  // namespace sloestack::simulator
--- a/tests/base/deadlines_test.cpp
+++ b/tests/base/deadlines_test.cpp
@@ -1,4 +1,4 @@
-// Deadlines: order, removal, and those added during a sweep.
+// Order of deadlines, and deadlines that a callback clears or adds.
 #include "deadlines/deadlines.h"
 
 #include <gtest/gtest.h>
@@ -9,24 +9,24 @@
 
 using namespace sloestack;
 
-TEST(Deadlines, RunInOrderAndOnlyWhenDue) {
+TEST(Deadlines, RunsDueCallbacksInOrder) {
     const Clock clock;
-    Deadlines all(clock);
+    Deadlines deadlines(clock);
     std::string order;
     const Time past = clock.now() - 1000;
-    Deadline taken_back;
-    taken_back.set(all, past, [&] { order += "x"; });
-    all.add(past, [&] { order += "b"; });
-    all.add(past - 1, [&] {
+    Deadline cleared;
+    cleared.set(deadlines, past, [&] { order += "x"; });
+    deadlines.add(past, [&] { order += "b"; });
+    deadlines.add(past - 1, [&] {
         order += "a";
-        taken_back.clear();
-        all.add(past, [&] { order += "c"; });  // due already, but for the next sweep
+        cleared.clear();
+        deadlines.add(past, [&] { order += "c"; });  // due already, but runs in the next call
     });
-    all.add(clock.now() + 3'600'000'000, [&] { order += "never"; });
-    all.run_due();
+    deadlines.add(clock.now() + 3'600'000'000, [&] { order += "never"; });
+    deadlines.run_due();
     ASSERT_TRUE(order == "ab");
-    all.run_due();
-    ASSERT_TRUE(order == "abc" && all.size() == 1);
+    deadlines.run_due();
+    ASSERT_TRUE(order == "abc" && deadlines.size() == 1);
 }
 
 }  // namespace
--- a/tests/base/invariant_test.cpp
+++ b/tests/base/invariant_test.cpp
@@ -1,4 +1,4 @@
-// Counters of broken invariants.
+// The counters of broken invariants.
 #include "invariant/invariant.h"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 
 using namespace sloestack;
 
-TEST(Invariant, CountsOnlyWhatDoesNotHold) {
-    static invariant::Counter counter("test");  // counters stay: they are linked for the report
+TEST(InvariantCounter, CountsOnlyFailedChecks) {
+    static invariant::Counter counter("test");  // static because the list of counters keeps a pointer to it
     ASSERT_TRUE(counter.holds(true) && counter.broken() == 0);
     ASSERT_TRUE(!counter.holds(false) && counter.broken() == 1);
 }
