--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -72,8 +72,8 @@
     bool connection_reused_ = false;               // whether the current poll uses an older connection
     http::ResponseParser response_;
     decision::PollTimeouts timeouts_;
-    decision::PollTimeouts::Next current_poll_ = {};  // of the last poll while none is pending
-    Time poll_started_at_ = 0;                        // before the connection attempt
+    decision::PollTimeouts::NextPoll current_poll_ = {};  // of the last poll while none is pending
+    Time poll_started_at_ = 0;                            // before the connection attempt
     Deadline poll_timeout_;
     bool has_completed_poll_ = false;
 };
