--- a/src/fleet/discovery/discovery_watch.h
+++ b/src/fleet/discovery/discovery_watch.h
@@ -43,7 +43,7 @@
         stopped,
         connecting,
         awaiting_response,
-        delivering_list,  // to the listener; the next poll starts when it returns
+        delivering_list,  // to the listener; the next poll starts when the listener returns
     };
     enum class PollFailure {
         no_response,  // no complete response with a valid list
--- a/src/simulator_adapter/event_codec.cpp
+++ b/src/simulator_adapter/event_codec.cpp
@@ -112,7 +112,7 @@
     return out;
 }
 
-ResponseStarted read_answer_started(FieldReader& in) {
+ResponseStarted read_response_started(FieldReader& in) {
     ResponseStarted out;
     out.request = in.uint<std::uint64_t>();
     out.attempt = in.uint<std::uint8_t>();
--- a/src/simulator_adapter/event_codec.h
+++ b/src/simulator_adapter/event_codec.h
@@ -30,7 +30,7 @@
 
 decision::Arrival read_arrival(FieldReader& in);
 decision::AttemptEnded read_attempt_ended(FieldReader& in, const settings::InstanceSettings& settings);
-decision::ResponseStarted read_answer_started(FieldReader& in);
+decision::ResponseStarted read_response_started(FieldReader& in);
 decision::HealthCheckEnded read_health_check_ended(FieldReader& in,
                                                    const settings::InstanceSettings& settings);
 
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -60,8 +60,8 @@
             instance.events.emplace_back(read_attempt_ended(in, instance.settings));
             return;
         }
-        case EventCode::answer_started:
-            selected_instance().events.emplace_back(read_answer_started(in));
+        case EventCode::response_started:
+            selected_instance().events.emplace_back(read_response_started(in));
             return;
         case EventCode::client_disconnected:
             selected_instance().events.emplace_back(decision::ClientDisconnected{in.uint<std::uint64_t>()});
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -49,8 +49,7 @@
 
     std::map<InstanceNumber, Instance> instances_;
     std::array<EndpointEntries, kMaxLists> lists_;
-    std::vector<InstanceNumber>
-        batch_order_;  // instances of the current batch, in the order of their first record
+    std::vector<InstanceNumber> batch_order_;  // the current batch's, in the order of their first record
     std::optional<InstanceNumber> selected_;
     std::vector<decision::Action> actions_;
     ReplyWriter reply_;
--- a/src/simulator_adapter/record_codes.h
+++ b/src/simulator_adapter/record_codes.h
@@ -20,7 +20,7 @@
     arrival = 1070,
     endpoint_list = 1080,
     attempt_ended = 1090,
-    answer_started = 1100,
+    response_started = 1100,
     instance_selected = 1110,  // assigns the records that follow to an instance
 };
 
