--- a/src/admin/admin_server/admin_connection.h
+++ b/src/admin/admin_server/admin_connection.h
@@ -23,7 +23,7 @@
 class AdminConnectionEvents {
 public:
     // A complete request has been read. The response may be given during this call or later. Throws
-    // http::BadRequest if the request is malformed.
+    // http::RequestError if the request is malformed.
     virtual void on_request(ConnectionId id, const http::RequestParser& request) = 0;
     // The connection is done: the owner destroys it when none of its functions is on the call stack.
     virtual void on_finished(ConnectionId id) = 0;
@@ -45,7 +45,7 @@
 
     void received() override;
     void drained() override;
-    void ended(net::Ending how) override;
+    void ended(net::ConnectionEnd how) override;
 
 private:
     enum class State { reading_request, awaiting_response, responded };
--- a/src/fleet/discovery/discovery_watch.cpp
+++ b/src/fleet/discovery/discovery_watch.cpp
@@ -79,7 +79,7 @@
 void DiscoveryWatch::received() {
     if (!is_poll_pending()) return on_poll_failed("received bytes while no poll was pending");
     try {
-        connection_->consume(response_.feed(connection_->unread()));
+        connection_->consume(response_.feed(connection_->peek()));
         if (response_.done()) on_response();
     } catch (const std::runtime_error& error) {
         on_poll_failed(error.what());
@@ -102,14 +102,14 @@
     poll();  // at once, because discovery cannot report a change between polls
 }
 
-void DiscoveryWatch::ended(net::Ending how) {
+void DiscoveryWatch::ended(net::ConnectionEnd how) {
     connection_.reset();
     if (!is_poll_pending()) return;
     const bool was_connected = state_ == State::awaiting_response;
     // Discovery may have closed an idle connection just before the request was sent on it. That is not a
     // failed poll; the request is sent again on a new connection.
     if (was_connected && connection_reused_ && response_.status() == 0) return poll();
-    if (how == net::Ending::end_of_input) response_.end_of_input();
+    if (how == net::ConnectionEnd::end_of_input) response_.end_of_input();
     if (!response_.done())
         return on_poll_failed(was_connected ? "connection closed before the response was complete"
                                             : "cannot connect");
