--- a/fuzz/entry.cpp
+++ b/fuzz/entry.cpp
@@ -1,4 +1,4 @@
-// The entry that libFuzzer calls; SLOESTACK_TARGET is one of targets.h.
+// The entry point of libFuzzer. SLOESTACK_TARGET is the name of a function of targets.h.
 #include "targets.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -12,38 +12,40 @@
 namespace sloestack::fuzz {
 namespace {
 
-constexpr std::size_t kSmall = 64 * 1024;  // bounds that a fuzzer can reach
+constexpr std::size_t kMemoryLimitBytes = 64 * 1024;  // small enough for a fuzzer to reach
 
-void must(bool condition) {
+void require(bool condition) {
     if (!condition) std::abort();
 }
 
-struct Nobody final : conversation::Listener {
-    void asked(const conversation::Asked& a) override { must(a.bytes.size() >= 5); }
+struct CheckingListener final : conversation::Listener {
+    void asked(const conversation::Asked& request) override { require(request.bytes.size() >= 5); }
     void answered(const conversation::Answered&) override {}
 };
 
-// Holds the streams to what they promise: nothing before the opening, nothing behind a gap or the end.
-struct Strict final : streams::Events {
-    struct One {
-        std::uint64_t told[2] = {0, 0};
-        bool lost[2] = {false, false};
+// Checks the order of stream events: no event before a stream is opened or after it is closed, and no bytes
+// of a direction after a gap.
+struct CheckingStreamEvents final : streams::Events {
+    struct Stream {
+        std::uint64_t received_bytes[2] = {0, 0};
+        bool has_gap[2] = {false, false};
     };
-    std::unordered_map<streams::StreamId, One> open;
+    std::unordered_map<streams::StreamId, Stream> open;
     void opened(streams::StreamId id, const streams::Flow&, std::int64_t) override {
-        must(open.emplace(id, One{}).second);
+        require(open.emplace(id, Stream{}).second);
     }
-    void bytes(streams::StreamId id, streams::Side from, std::string_view b, std::int64_t) override {
-        auto& one = open.at(id);
-        must(!b.empty() && !one.lost[static_cast<int>(from)]);
-        one.told[static_cast<int>(from)] += b.size();
+    void bytes(streams::StreamId id, streams::Side from, std::string_view bytes, std::int64_t) override {
+        auto& stream = open.at(id);
+        require(!bytes.empty() && !stream.has_gap[static_cast<int>(from)]);
+        stream.received_bytes[static_cast<int>(from)] += bytes.size();
     }
     void gap(streams::StreamId id, streams::Side from, std::uint64_t offset, streams::Gap) override {
-        auto& one = open.at(id);
-        must(!one.lost[static_cast<int>(from)] && offset == one.told[static_cast<int>(from)]);
-        one.lost[static_cast<int>(from)] = true;
+        auto& stream = open.at(id);
+        require(!stream.has_gap[static_cast<int>(from)] &&
+                offset == stream.received_bytes[static_cast<int>(from)]);
+        stream.has_gap[static_cast<int>(from)] = true;
     }
-    void closed(streams::StreamId id, std::int64_t, streams::End) override { must(open.erase(id) == 1); }
+    void closed(streams::StreamId id, std::int64_t, streams::End) override { require(open.erase(id) == 1); }
 };
 
 }  // namespace
@@ -53,112 +55,118 @@
     auto* file = fmemopen(const_cast<std::uint8_t*>(data), size, "rb");
     if (!file) return;
     conversation::RecordingSettings settings;
-    settings.streams.most_held = settings.streams.most_held_by_one = kSmall;
+    settings.streams.most_held = settings.streams.most_held_by_one = kMemoryLimitBytes;
     settings.streams.most_streams = 16;
-    settings.most_unfinished = kSmall;
-    Nobody nobody;
+    settings.most_unfinished = kMemoryLimitBytes;
+    CheckingListener listener;
     try {
-        conversation::Recording recording(file, "input", conversation::postgres(), settings, nobody);
-        while (recording.step()) must(recording.held() <= 2 * kSmall);
-        must(recording.held() == 0);
+        conversation::Recording recording(file, "input", conversation::postgres(), settings, listener);
+        while (recording.step()) require(recording.held() <= 2 * kMemoryLimitBytes);
+        require(recording.held() == 0);
     } catch (const pcap::BadFile&) {
     }
 }
 
-// Twelve bytes a segment: ports, flags, sequence number, length and how much of it is there.
+// Each segment is 12 bytes: ports, flags, VLAN, sequence and acknowledgement number, length, and how many
+// bytes of the payload were captured.
 void segments(const std::uint8_t* data, std::size_t size) {
     streams::Limits limits;
     limits.most_held = 4096;
     limits.most_held_by_one = 2048;
     limits.most_streams = 4;
-    Strict strict;
-    streams::Streams all(limits, strict);
+    CheckingStreamEvents events;
+    streams::Streams all_streams(limits, events);
     const std::string payload(256, 'p');
     for (std::size_t at = 0; at + 12 <= size; at += 12) {
-        const auto* b = data + at;
-        pcap::Segment s;
-        s.time_us = static_cast<std::int64_t>(at);
-        s.from.port = static_cast<std::uint16_t>(b[0] % 8);
-        s.to.port = static_cast<std::uint16_t>(b[1] % 8);
-        s.flags = b[2] & 31;
-        s.vlan = b[3] % 2;
-        s.seq = static_cast<std::uint32_t>(b[4] << 24 | b[5] << 16 | b[6] << 8 | b[7]);
-        s.ack = static_cast<std::uint32_t>(b[8] << 8 | b[9]);
-        s.length = b[10];
-        s.payload = std::string_view(payload).substr(0, std::min<std::size_t>(b[11], b[10]));
-        all.take(s);
-        must(all.held() <= limits.most_held && all.open() <= limits.most_streams);
+        const auto* input = data + at;
+        pcap::Segment segment;
+        segment.time_us = static_cast<std::int64_t>(at);
+        segment.from.port = static_cast<std::uint16_t>(input[0] % 8);
+        segment.to.port = static_cast<std::uint16_t>(input[1] % 8);
+        segment.flags = input[2] & 31;
+        segment.vlan = input[3] % 2;
+        segment.seq = static_cast<std::uint32_t>(input[4] << 24 | input[5] << 16 | input[6] << 8 | input[7]);
+        segment.ack = static_cast<std::uint32_t>(input[8] << 8 | input[9]);
+        segment.length = input[10];
+        segment.payload = std::string_view(payload).substr(0, std::min<std::size_t>(input[11], input[10]));
+        all_streams.take(segment);
+        require(all_streams.held() <= limits.most_held && all_streams.open() <= limits.most_streams);
     }
-    all.finish();
-    must(all.held() == 0 && strict.open.empty());
+    all_streams.finish();
+    require(all_streams.held() == 0 && events.open.empty());
 }
 
-// A length and a side before each piece.
+// Each chunk follows a byte with its length and the side that sends it.
 void conversation(const std::uint8_t* data, std::size_t size) {
     conversation::Memory memory;
-    memory.most = kSmall;
-    Nobody nobody;
-    const auto dialect = conversation::postgres().begin(1, memory, nobody);
+    memory.most = kMemoryLimitBytes;
+    CheckingListener listener;
+    const auto dialect = conversation::postgres().begin(1, memory, listener);
     for (std::size_t at = 0; at + 1 < size;) {
         const auto side = data[at] & 1 ? conversation::Side::server : conversation::Side::client;
         const auto length = std::min<std::size_t>(data[at] >> 1, size - at - 1);
         dialect->read(side, {reinterpret_cast<const char*>(data + at + 1), length},
                       static_cast<std::int64_t>(at));
-        must(memory.held <= memory.most);
+        require(memory.held <= memory.most);
         at += 1 + length;
     }
     dialect->over(9);
-    must(memory.held == 0 && dialect->unanswered() == 0);
+    require(memory.held == 0 && dialect->unanswered() == 0);
 }
 
 namespace {
 
-// Holds the reader to what it promises: values in the order of the columns, pieces only inside a value.
-struct Tokens final : tds::TokenEvents {
-    std::size_t columns_now = 0, next = 0;
-    bool in_value = false;
-    void columns(const std::vector<tds::Column>& c) override { columns_now = next = c.size(); }
+// Checks the order of token events: values in the order of the columns, and chunks only inside a value.
+struct CheckingTokenEvents final : tds::TokenEvents {
+    std::size_t column_count = 0, next_column = 0;
+    bool is_inside_value = false;
+    void columns(const std::vector<tds::Column>& columns) override {
+        column_count = next_column = columns.size();
+    }
     void row() override {
-        must(next == columns_now);
-        next = 0;
+        require(next_column == column_count);
+        next_column = 0;
+    }
+    void value(std::size_t column, std::optional<std::string_view>) override {
+        require(!is_inside_value && column == next_column++);
     }
-    void value(std::size_t c, std::optional<std::string_view>) override { must(!in_value && c == next++); }
-    void begin_value(std::size_t c, std::optional<std::uint64_t>) override {
-        must(!in_value && c == next++);
-        in_value = true;
+    void begin_value(std::size_t column, std::optional<std::uint64_t>) override {
+        require(!is_inside_value && column == next_column++);
+        is_inside_value = true;
     }
-    void value_chunk(std::string_view b) override { must(in_value && !b.empty()); }
+    void value_chunk(std::string_view bytes) override { require(is_inside_value && !bytes.empty()); }
     void end_value() override {
-        must(in_value);
-        in_value = false;
+        require(is_inside_value);
+        is_inside_value = false;
     }
     void error(const tds::ErrorOrInfo&) override {}
-    void done(const tds::Done&) override { must(!in_value); }
+    void done(const tds::Done&) override { require(!is_inside_value); }
 };
 
 }  // namespace
 
-// Packets as they come; whole messages of a client are read by their type, a server's as they come.
+// A payload from the server is passed to the token reader at once; a message of a client is parsed when
+// complete.
 void tds_messages(const std::uint8_t* data, std::size_t size) {
     std::string_view left(reinterpret_cast<const char*>(data), size);
     tds::PacketReader packets;
-    Tokens tokens;
-    tds::TokenReader reader(tokens);
+    CheckingTokenEvents events;
+    tds::TokenReader reader(events);
     std::string message;
     try {
-        while (const auto part = packets.next(left)) {
-            left.remove_prefix(part->size);
-            if (part->type == tds::PacketType::result) {
-                reader.read(part->payload);
-                must(reader.buffered_bytes() <= tds::kMaxBufferedTokenBytes);
+        while (const auto packet = packets.next(left)) {
+            left.remove_prefix(packet->size);
+            if (packet->type == tds::PacketType::result) {
+                reader.read(packet->payload);
+                require(reader.buffered_bytes() <= tds::kMaxBufferedTokenBytes);
                 continue;
             }
-            message.append(part->payload);
-            if (!part->is_last) continue;
-            if (part->type == tds::PacketType::prelogin) tds::read_prelogin(message);
-            if (part->type == tds::PacketType::login) tds::read_login(message);
-            if (part->type == tds::PacketType::batch) tds::read_batch(message);
-            if (part->type == tds::PacketType::rpc) tds::read_rpc(message);
+            message.append(packet->payload);
+            if (!packet->is_last) continue;
+            if (packet->type == tds::PacketType::prelogin) tds::read_prelogin(message);
+            if (packet->type == tds::PacketType::login) tds::read_login(message);
+            if (packet->type == tds::PacketType::batch) tds::read_batch(message);
+            if (packet->type == tds::PacketType::rpc) tds::read_rpc(message);
             message.clear();
         }
     } catch (const tds::ProtocolError&) {
--- a/src/wire/http/response.cpp
+++ b/src/wire/http/response.cpp
@@ -7,10 +7,10 @@
 namespace sloestack::http {
 namespace {
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
     std::string out(text);
     std::transform(out.begin(), out.end(), out.begin(),
-                   [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
+                   [](unsigned char byte) { return static_cast<char>(std::tolower(byte)); });
     return out;
 }
 
@@ -20,12 +20,12 @@
     return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
-std::size_t number(std::string_view text, int base) {
+std::size_t parse_size(std::string_view text, int base) {
     std::size_t out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
     if (error != std::errc() || end != text.data() + text.size())
-        throw ResponseError("a length is no number");
-    if (out > ResponseParser::kMaxBodyBytes) throw ResponseError("the body is too large");
+        throw ResponseError("a status code, Content-Length or chunk size is not a number");
+    if (out > ResponseParser::kMaxBodyBytes) throw ResponseError("the body is larger than 4 MiB");
     return out;
 }
 
@@ -52,8 +52,9 @@
             default: {  // a line
                 const auto end = rest.find('\n');
                 const auto part = rest.substr(0, end);
-                head_ += part.size() + 1;
-                if (head_ > kMaxHeadBytes) throw ResponseError("the head is too large");
+                head_size_ += part.size() + 1;
+                if (head_size_ > kMaxHeadBytes)
+                    throw ResponseError("the head, or the trailer section, is larger than 16 KiB");
                 line_.append(part);
                 taken += part.size();
                 if (end == std::string_view::npos) break;
@@ -61,7 +62,7 @@
                 if (!line_.empty() && line_.back() == '\r') line_.pop_back();
                 const auto text = std::move(line_);
                 line_.clear();
-                line(text);
+                read_line(text);
             }
         }
     }
@@ -73,19 +74,19 @@
     keep_open_ = false;
 }
 
-void ResponseParser::line(std::string_view text) {
+void ResponseParser::read_line(std::string_view text) {
     switch (state_) {
         case State::status:
-            return status_line(text);
+            return read_status_line(text);
         case State::headers:
-            return text.empty() ? head_done() : header(text);
+            return text.empty() ? end_head() : read_header(text);
         case State::chunk_size:
-            head_ = 0;
-            left_ = number(trim(text.substr(0, text.find(';'))), 16);
+            head_size_ = 0;
+            left_ = parse_size(trim(text.substr(0, text.find(';'))), 16);
             state_ = left_ ? State::chunk : State::trailers;
             return;
         case State::chunk_end:
-            if (!text.empty()) throw ResponseError("a chunk is longer than its size");
+            if (!text.empty()) throw ResponseError("a chunk is longer than its chunk size");
             state_ = State::chunk_size;
             return;
         default:  // trailers
@@ -93,24 +94,25 @@
     }
 }
 
-void ResponseParser::status_line(std::string_view text) {
+void ResponseParser::read_status_line(std::string_view text) {
     if (text.substr(0, 7) != "HTTP/1." || text.size() < 12 || text[8] != ' ')
-        throw ResponseError("not an HTTP/1 response");
+        throw ResponseError("the status line does not begin with HTTP/1.x and a status code");
     keep_open_ = text[7] != '0';
-    status_ = static_cast<int>(number(text.substr(9, 3), 10));
+    status_ = static_cast<int>(parse_size(text.substr(9, 3), 10));
     state_ = State::headers;
 }
 
-void ResponseParser::header(std::string_view text) {
+void ResponseParser::read_header(std::string_view text) {
     const auto colon = text.find(':');
-    if (colon == std::string_view::npos) throw ResponseError("a header without a colon");
-    const auto name = lower(text.substr(0, colon));
-    const auto value = lower(trim(text.substr(colon + 1)));
+    if (colon == std::string_view::npos) throw ResponseError("a header line has no colon");
+    const auto name = to_lower(text.substr(0, colon));
+    const auto value = to_lower(trim(text.substr(colon + 1)));
     if (name == "content-length") {
-        left_ = number(value, 10);
-        sized_ = true;
+        left_ = parse_size(value, 10);
+        has_content_length_ = true;
     } else if (name == "transfer-encoding") {
-        if (value != "chunked") throw ResponseError("an unknown transfer encoding");
+        if (value != "chunked")
+            throw ResponseError("a Transfer-Encoding other than chunked is not supported");
         chunked_ = true;
     } else if (name == "connection") {
         if (value == "close") keep_open_ = false;
@@ -118,14 +120,14 @@
     }
 }
 
-void ResponseParser::head_done() {
-    if (status_ >= 100 && status_ < 200) {  // an interim response; the real one follows
+void ResponseParser::end_head() {
+    if (status_ >= 100 && status_ < 200) {  // an interim response; the final one follows
         *this = ResponseParser();
     } else if (status_ == 204 || status_ == 304) {
         state_ = State::done;
     } else if (chunked_) {
         state_ = State::chunk_size;
-    } else if (sized_) {
+    } else if (has_content_length_) {
         state_ = left_ ? State::sized : State::done;
     } else {
         state_ = State::until_close;
@@ -134,7 +136,7 @@
 }
 
 void ResponseParser::append(std::string_view bytes) {
-    if (body_.size() + bytes.size() > kMaxBodyBytes) throw ResponseError("the body is too large");
+    if (body_.size() + bytes.size() > kMaxBodyBytes) throw ResponseError("the body is larger than 4 MiB");
     body_.append(bytes);
 }
 
--- a/src/wire/http/response.h
+++ b/src/wire/http/response.h
@@ -1,4 +1,5 @@
-// Reads HTTP/1.1 responses as their bytes come in. Pure and bounded: head and body each have a limit.
+// Parses one HTTP/1.1 response incrementally. Does no I/O; the sizes of head and body are bounded. Source:
+// RFC 9112.
 #pragma once
 
 #include <cstddef>
@@ -8,6 +9,7 @@
 
 namespace sloestack::http {
 
+// Bytes that are not a valid response, or one that is not supported.
 struct ResponseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -17,31 +19,34 @@
     static constexpr std::size_t kMaxHeadBytes = 16 * 1024;
     static constexpr std::size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
-    // Takes bytes up to the end of one response and returns how many; done() tells whether it is whole.
-    // Throws ResponseError.
+    // Parses bytes up to the end of the response and returns how many it used; done() then returns true if
+    // the response is complete. Throws ResponseError.
     std::size_t feed(std::string_view bytes);
-    // The peer has closed: where that is what ends the body, the response is whole now.
+    // To be called when the peer has closed the connection. Completes a response whose body is delimited by
+    // that.
     void end_of_input();
 
     bool done() const { return state_ == State::done; }
     int status() const { return status_; }
+    // Returns true if the peer keeps the connection open after this response.
     bool keeps_open() const { return keep_open_; }
     const std::string& body() const { return body_; }
 
 private:
     enum class State { status, headers, sized, until_close, chunk_size, chunk, chunk_end, trailers, done };
 
-    void line(std::string_view text);
-    void status_line(std::string_view text);
-    void header(std::string_view text);
-    void head_done();
+    void read_line(std::string_view text);
+    void read_status_line(std::string_view text);
+    void read_header(std::string_view text);
+    void end_head();
     void append(std::string_view bytes);
 
     State state_ = State::status;
     std::string line_, body_;
-    std::size_t head_ = 0, left_ = 0;
+    // Bytes of the lines read so far, and bytes left of the body or the current chunk.
+    std::size_t head_size_ = 0, left_ = 0;
     int status_ = 0;
-    bool chunked_ = false, sized_ = false, keep_open_ = true;
+    bool chunked_ = false, has_content_length_ = false, keep_open_ = true;
 };
 
 }  // namespace sloestack::http
--- a/src/wire/pgwire/build.cpp
+++ b/src/wire/pgwire/build.cpp
@@ -3,7 +3,7 @@
 namespace sloestack::pgwire {
 namespace {
 
-constexpr std::uint32_t kProtocol30 = 3u << 16;
+constexpr std::uint32_t kProtocolVersion30 = 3u << 16;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
     int32(0);
     body();
     const auto length = static_cast<std::uint32_t>(out_.size() - start);
-    for (std::size_t i = 0; i < 4; ++i) out_[start + i] = static_cast<char>(length >> (24 - 8 * i));
+    for (std::size_t at = 0; at < 4; ++at) out_[start + at] = static_cast<char>(length >> (24 - 8 * at));
     return *this;
 }
 void Builder::int16(std::uint16_t value) {
@@ -29,7 +29,7 @@
 
 Builder& Builder::startup_message(std::string_view user, std::string_view database) {
     return message('\0', [&] {
-        int32(kProtocol30);
+        int32(kProtocolVersion30);
         text("user"), text(user);
         text("database"), text(database);
         out_.push_back('\0');
@@ -49,19 +49,19 @@
 Builder& Builder::parameter_status(std::string_view name, std::string_view value) {
     return message('S', [&] { text(name), text(value); });
 }
-Builder& Builder::backend_key_data(std::uint32_t process, std::uint32_t secret) {
-    return message('K', [&] { int32(process), int32(secret); });
+Builder& Builder::backend_key_data(std::uint32_t process_id, std::uint32_t secret_key) {
+    return message('K', [&] { int32(process_id), int32(secret_key); });
 }
 Builder& Builder::negotiate_protocol_version() {
-    return message('v', [&] { int32(kProtocol30), int32(0); });
+    return message('v', [&] { int32(kProtocolVersion30), int32(0); });
 }
-Builder& Builder::startup_response(std::uint32_t process, std::uint32_t secret) {
+Builder& Builder::startup_response(std::uint32_t process_id, std::uint32_t secret_key) {
     return authentication_ok()
         .parameter_status("server_version", "15.0 (sloestack)")
         .parameter_status("server_encoding", "UTF8")
         .parameter_status("client_encoding", "UTF8")
         .parameter_status("standard_conforming_strings", "on")
-        .backend_key_data(process, secret)
+        .backend_key_data(process_id, secret_key)
         .ready_for_query();
 }
 Builder& Builder::ready_for_query() {
@@ -74,10 +74,10 @@
     return message('T', [&] {
         int16(1);
         text(column);
-        int32(0), int16(0);          // no table's column
-        int32(type), int16(0xffff);  // of no fixed size
-        int32(0xffffffff);           // no modifier
-        int16(binary ? 1 : 0);
+        int32(0), int16(0);          // not a column of a table
+        int32(type), int16(0xffff);  // variable size
+        int32(0xffffffff);           // no type modifier
+        int16(binary ? 1 : 0);       // format code
     });
 }
 Builder& Builder::data_row(std::optional<std::string_view> value) {
@@ -97,22 +97,24 @@
 Builder& Builder::command_complete(std::string_view tag) {
     return message('C', [&] { text(tag); });
 }
-Builder& Builder::error_response(std::string_view severity, std::string_view sqlstate, std::string_view what,
-                                 std::optional<std::int64_t> retry_after_ms) {
+Builder& Builder::error_response(std::string_view severity, std::string_view sqlstate,
+                                 std::string_view message_text, std::optional<std::int64_t> retry_after_ms) {
     return message('E', [&] {
         const auto field = [&](char name, std::string_view value) { out_.push_back(name), text(value); };
         field('S', severity);
         field('V', severity);
         field('C', sqlstate);
-        field('M', what);
+        field('M', message_text);
         if (retry_after_ms) field('D', std::to_string(*retry_after_ms));
         out_.push_back('\0');
     });
 }
-Builder& Builder::notice_response(std::string_view what) {
+Builder& Builder::notice_response(std::string_view message_text) {
     return message('N', [&] {
-        for (const auto& [name, value] :
-             {std::pair<char, std::string_view>{'S', "NOTICE"}, {'V', "NOTICE"}, {'C', "00000"}, {'M', what}})
+        for (const auto& [name, value] : {std::pair<char, std::string_view>{'S', "NOTICE"},
+                                          {'V', "NOTICE"},
+                                          {'C', "00000"},
+                                          {'M', message_text}})
             out_.push_back(name), text(value);
         out_.push_back('\0');
     });
--- a/src/wire/pgwire/error_fields.h
+++ b/src/wire/pgwire/error_fields.h
@@ -1,5 +1,5 @@
-// The fields of PostgreSQL's ErrorResponse and NoticeResponse: a type byte and a text each, ended by a zero
-// byte.
+// Reads the fields of ErrorResponse and NoticeResponse: a type byte and a zero-terminated text each; a zero
+// byte ends the list. Source: PostgreSQL documentation, chapter "Error and Notice Message Fields".
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 constexpr char kSqlstateField = 'C';
 
-// The text of the first field of a type, within `body`; nothing where there is none. Throws ProtocolError
-// where the body ends amid a field before it.
+// Returns the text of the first field of `type`, or `std::nullopt` if `body` has no such field. The text
+// points into `body`. Throws ProtocolError if `body` ends inside one of the fields before it.
 std::optional<std::string_view> find_error_field(std::string_view body, char type);
 
 }  // namespace sloestack::pgwire
--- a/src/wire/tds/login.cpp
+++ b/src/wire/tds/login.cpp
@@ -7,48 +7,51 @@
 namespace sloestack::tds {
 namespace {
 
-constexpr std::uint8_t kVersion = 0, kEncryption = 1, kInstance = 2, kMars = 4, kTerminator = 0xff;
-constexpr std::size_t kOption = 5;  // token, offset and length, both big-endian here as nowhere else
-// LOGIN7's fixed part: 36 bytes, ten fields of offset and length, the client's id, three more, a long length.
-constexpr std::size_t kFixed = 94;
-constexpr std::size_t kFields = 36, kClientId = 72, kAfterId = 78;
-constexpr std::uint8_t kIntegrated = 0x80, kExtension = 0x10, kChangePassword = 0x01;
-constexpr std::size_t kLongestText = 128;      // characters of a name; MS-TDS 2.2.6.4 bounds each of them so
-constexpr std::size_t kMostLogin = 64 * 1024;  // its offsets have 16 bits
+constexpr std::uint8_t kVersionOption = 0, kEncryptionOption = 1, kInstanceOption = 2, kMarsOption = 4,
+                       kTerminator = 0xff;
+constexpr std::size_t kOptionBytes = 5;  // token, offset and length; only in PRELOGIN these are big-endian
+// LOGIN7's fixed part: 36 bytes, nine pairs of offset and length, the client's ID, three more pairs, and a
+// length of 32 bits.
+constexpr std::size_t kFixedBytes = 94;
+constexpr std::size_t kFirstFieldOffset = 36, kClientIdOffset = 72, kSspiOffset = 78;
+constexpr std::uint8_t kIntegratedFlag = 0x80, kExtensionFlag = 0x10, kChangePasswordFlag = 0x01;
+constexpr std::size_t kMaxTextUnits = 128;         // UTF-16 code units of a text field (MS-TDS 2.2.6.4)
+constexpr std::size_t kMaxLoginBytes = 64 * 1024;  // offsets have 16 bits
 
-std::uint16_t big16(std::string_view b, std::size_t at) {
-    return static_cast<std::uint16_t>(static_cast<unsigned char>(b[at]) << 8 |
-                                      static_cast<unsigned char>(b[at + 1]));
+std::uint16_t read_big_endian_16(std::string_view bytes, std::size_t at) {
+    return static_cast<std::uint16_t>(static_cast<unsigned char>(bytes[at]) << 8 |
+                                      static_cast<unsigned char>(bytes[at + 1]));
 }
 
-// Where the variable fields lie, so that none hides in another or in the fixed part.
-class Places {
+// Checks that the variable fields lie in the variable part of the message and do not overlap.
+class VariableFields {
 public:
-    explicit Places(std::string_view whole) : whole_(whole) {}
-    std::string_view take(std::size_t offset, std::size_t size) {
-        if (size == 0) return {};  // an absent field's offset says nothing
-        if (offset < kFixed) throw ProtocolError("a login whose field lies in its fixed part");
-        if (offset > whole_.size() || size > whole_.size() - offset)
-            throw ProtocolError("a login whose field lies outside of it");
-        for (const auto& [from, to] : taken_)
-            if (offset < to && from < offset + size) throw ProtocolError("a login whose fields overlap");
-        taken_.emplace_back(offset, offset + size);
-        return whole_.substr(offset, size);
+    explicit VariableFields(std::string_view payload) : payload_(payload) {}
+    std::string_view read(std::size_t offset, std::size_t size) {
+        if (size == 0) return {};  // the offset of an empty field has no meaning
+        if (offset < kFixedBytes) throw ProtocolError("a LOGIN7 field that lies in the fixed part");
+        if (offset > payload_.size() || size > payload_.size() - offset)
+            throw ProtocolError("a LOGIN7 field that lies outside the message");
+        for (const auto& [from, to] : ranges_)
+            if (offset < to && from < offset + size) throw ProtocolError("LOGIN7 fields that overlap");
+        ranges_.emplace_back(offset, offset + size);
+        return payload_.substr(offset, size);
     }
 
 private:
-    std::string_view whole_;
-    std::vector<std::pair<std::size_t, std::size_t>> taken_;
+    std::string_view payload_;
+    std::vector<std::pair<std::size_t, std::size_t>> ranges_;
 };
 
-// MS-TDS 2.2.6.4: the nibbles of each byte change places, and 0xa5 is laid over it. It hides nothing.
-std::string veiled(std::string bytes, bool veil) {
-    for (auto& c : bytes) {
-        auto b = static_cast<unsigned char>(c);
-        if (!veil) b ^= 0xa5;
-        b = static_cast<unsigned char>(b << 4 | b >> 4);
-        if (veil) b ^= 0xa5;
-        c = static_cast<char>(b);
+// Obfuscates a password as LOGIN7 requires, or reverses that: the nibbles of each byte are swapped, then the
+// byte is XORed with 0xa5 (MS-TDS 2.2.6.4). This is no encryption.
+std::string obfuscated(std::string bytes, bool obfuscate) {
+    for (auto& character : bytes) {
+        auto byte = static_cast<unsigned char>(character);
+        if (!obfuscate) byte ^= 0xa5;
+        byte = static_cast<unsigned char>(byte << 4 | byte >> 4);
+        if (obfuscate) byte ^= 0xa5;
+        character = static_cast<char>(byte);
     }
     return bytes;
 }
@@ -59,7 +62,7 @@
     for (auto id = in.u8(); id != kTerminator; id = in.u8()) {
         const auto size = in.u32();
         if (!out.emplace(id, in.bytes(size)).second)
-            throw ProtocolError("a login that asks for a feature twice");
+            throw ProtocolError("a LOGIN7 feature that is requested twice");
     }
     return out;
 }
@@ -69,55 +72,59 @@
 Prelogin read_prelogin(std::string_view payload) {
     Prelogin out;
     bool has_version = false;
-    for (std::size_t at = 0;; at += kOption) {
-        if (at >= payload.size()) throw ProtocolError("a prelogin whose options have no end");
+    for (std::size_t at = 0;; at += kOptionBytes) {
+        if (at >= payload.size()) throw ProtocolError("a PRELOGIN option list without a terminator");
         const auto token = static_cast<std::uint8_t>(payload[at]);
         if (token == kTerminator) break;
-        if (payload.size() - at < kOption) throw ProtocolError("a prelogin whose options have no end");
-        const std::size_t offset = big16(payload, at + 1), size = big16(payload, at + 3);
+        if (payload.size() - at < kOptionBytes)
+            throw ProtocolError("a PRELOGIN option list without a terminator");
+        const std::size_t offset = read_big_endian_16(payload, at + 1),
+                          size = read_big_endian_16(payload, at + 3);
         if (offset > payload.size() || size > payload.size() - offset)
-            throw ProtocolError("a prelogin whose option lies outside of it");
-        // The version comes first (MS-TDS 2.2.6.5), which also tells a prelogin from TLS bytes.
-        if (at == 0 && token != kVersion)
-            throw ProtocolError("a prelogin that does not begin with its version");
+            throw ProtocolError("a PRELOGIN option that lies outside the message");
+        // The version must be first (MS-TDS 2.2.6.5). This also rejects a TLS handshake.
+        if (at == 0 && token != kVersionOption)
+            throw ProtocolError("a PRELOGIN whose first option is not VERSION");
         const auto value = payload.substr(offset, size);
         const auto byte = [&] {
-            if (value.size() != 1) throw ProtocolError("a prelogin option of a wrong size");
+            if (value.size() != 1) throw ProtocolError("a PRELOGIN option of a wrong size");
             return static_cast<std::uint8_t>(value[0]);
         };
-        if (token == kVersion) {
-            if (has_version || size != 6) throw ProtocolError("a prelogin option of a wrong size");
+        if (token == kVersionOption) {
+            if (has_version || size != 6) throw ProtocolError("a PRELOGIN option of a wrong size");
             has_version = true;
-            out.version = static_cast<std::uint32_t>(big16(value, 0)) << 16 | big16(value, 2);
-        } else if (token == kEncryption) {
-            const auto said = byte();
-            if ((said & 0x7f) > 3) throw ProtocolError("a prelogin with an unknown word on encryption");
-            out.encryption = said & 0x80 ? Encryption::required : static_cast<Encryption>(said);
-        } else if (token == kInstance) {
+            out.version =
+                static_cast<std::uint32_t>(read_big_endian_16(value, 0)) << 16 | read_big_endian_16(value, 2);
+        } else if (token == kEncryptionOption) {
+            const auto encryption = byte();
+            if ((encryption & 0x7f) > 3)
+                throw ProtocolError("a PRELOGIN with an unknown value of ENCRYPTION");
+            out.encryption = encryption & 0x80 ? Encryption::required : static_cast<Encryption>(encryption);
+        } else if (token == kInstanceOption) {
             out.instance = value.substr(0, value.find('\0'));
-        } else if (token == kMars) {
+        } else if (token == kMarsOption) {
             out.mars = size > 0 && byte() != 0;
         } else {
-            out.others.push_back(token);
+            out.unknown_options.push_back(token);
         }
     }
     return out;
 }
 
-std::string build_prelogin(const Prelogin& p) {
-    const std::string version = {static_cast<char>(p.version >> 24),
-                                 static_cast<char>(p.version >> 16),
-                                 static_cast<char>(p.version >> 8),
-                                 static_cast<char>(p.version),
+std::string build_prelogin(const Prelogin& prelogin) {
+    const std::string version = {static_cast<char>(prelogin.version >> 24),
+                                 static_cast<char>(prelogin.version >> 16),
+                                 static_cast<char>(prelogin.version >> 8),
+                                 static_cast<char>(prelogin.version),
                                  0,
                                  0};
     const std::pair<std::uint8_t, std::string> options[] = {
-        {kVersion, version},
-        {kEncryption, std::string(1, static_cast<char>(p.encryption))},
-        {kInstance, p.instance + '\0'},
-        {kMars, std::string(1, p.mars ? '\1' : '\0')}};
+        {kVersionOption, version},
+        {kEncryptionOption, std::string(1, static_cast<char>(prelogin.encryption))},
+        {kInstanceOption, prelogin.instance + '\0'},
+        {kMarsOption, std::string(1, prelogin.mars ? '\1' : '\0')}};
     std::string head, data;
-    const auto head_size = std::size(options) * kOption + 1;
+    const auto head_size = std::size(options) * kOptionBytes + 1;
     for (const auto& [token, value] : options) {
         const auto offset = head_size + data.size();
         for (const auto byte : {std::size_t{token}, offset >> 8, offset, value.size() >> 8, value.size()})
@@ -129,60 +136,61 @@
 }
 
 Login read_login(std::string_view payload) {
-    if (payload.size() < kFixed) throw ProtocolError("a login shorter than its fixed part");
+    if (payload.size() < kFixedBytes) throw ProtocolError("a LOGIN7 message shorter than its fixed part");
     FieldReader in(payload);
-    if (in.u32() != payload.size()) throw ProtocolError("a login that is not as long as it says");
+    if (in.u32() != payload.size()) throw ProtocolError("a LOGIN7 message whose length field is wrong");
     Login out;
     out.version = in.u32();
-    const auto known = {kVersion72, kVersion73a, kVersion73b, kVersion74};
-    if (std::find(known.begin(), known.end(), out.version) == known.end())
-        throw ProtocolError("a login of a version other than 7.2 to 7.4");
+    const auto supported = {kVersion72, kVersion73a, kVersion73b, kVersion74};
+    if (std::find(supported.begin(), supported.end(), out.version) == supported.end())
+        throw ProtocolError("a LOGIN7 message with a TDS version other than 7.2 to 7.4");
     out.packet_size = in.u32();
-    if (out.packet_size == 0) out.packet_size = kDefaultPacketBytes;  // the server is to choose
+    if (out.packet_size == 0)
+        out.packet_size = kDefaultPacketBytes;  // the client leaves the choice to the server
     out.packet_size = std::clamp(out.packet_size, kMinPacketBytes, kMaxPacketBytes);
-    in.bytes(12);  // program's version, process and connection
+    in.bytes(12);  // ClientProgVer, ClientPID and ConnectionID
     in.u8();
-    out.integrated = in.u8() & kIntegrated;
+    out.integrated = in.u8() & kIntegratedFlag;
     in.u8();
     const auto flags3 = in.u8();
-    in.bytes(8);  // time zone and locale
-    Places places(payload);
+    in.bytes(8);  // ClientTimeZone and ClientLCID
+    VariableFields fields(payload);
     const auto field = [&](std::size_t at) {
-        FieldReader c(payload.substr(at));
-        const std::size_t offset = c.u16(), count = c.u16();
+        FieldReader in_field(payload.substr(at));
+        const std::size_t offset = in_field.u16(), count = in_field.u16();
         return std::pair{offset, count};
     };
     const auto text = [&](std::size_t index) {
-        const auto [offset, count] = field(kFields + index * 4);
-        if (count > kLongestText) throw ProtocolError("a login with a name of more than 128 characters");
-        return from_utf16(places.take(offset, count * 2));
+        const auto [offset, count] = field(kFirstFieldOffset + index * 4);
+        if (count > kMaxTextUnits) throw ProtocolError("a LOGIN7 text of more than 128 characters");
+        return from_utf16(fields.read(offset, count * 2));
     };
     out.host = text(0);
     out.user = text(1);
     {
-        const auto [offset, count] = field(kFields + 8);
-        if (count > kLongestText) throw ProtocolError("a login with a password of more than 128 characters");
-        out.password = from_utf16(veiled(std::string(places.take(offset, count * 2)), false));
+        const auto [offset, count] = field(kFirstFieldOffset + 8);
+        if (count > kMaxTextUnits) throw ProtocolError("a LOGIN7 password of more than 128 characters");
+        out.password = from_utf16(obfuscated(std::string(fields.read(offset, count * 2)), false));
     }
     out.app = text(3);
     out.server = text(4);
-    const auto [extension_at, extension_size] = field(kFields + 20);
+    const auto [extension_at, extension_size] = field(kFirstFieldOffset + 20);
     out.library = text(6);
     out.language = text(7);
     out.database = text(8);
-    const auto [sspi_at, sspi_size] = field(kAfterId);
-    places.take(sspi_at, sspi_size);
-    const auto [file_at, file_count] = field(kAfterId + 4);
+    const auto [sspi_at, sspi_size] = field(kSspiOffset);
+    fields.read(sspi_at, sspi_size);
+    const auto [file_at, file_count] = field(kSspiOffset + 4);
     out.attaches_file = file_count > 0;
-    places.take(file_at, file_count * 2);
-    const auto [change_at, change_count] = field(kAfterId + 8);
-    out.changes_password = change_count > 0 || (flags3 & kChangePassword);
-    places.take(change_at, change_count * 2);
-    if ((flags3 & kExtension) && extension_size > 0) {
-        if (extension_size < 4) throw ProtocolError("a login whose extension has no place");
-        const auto at = FieldReader(places.take(extension_at, extension_size)).u32();
-        if (at < kFixed || at >= payload.size())
-            throw ProtocolError("a login whose field lies outside of it");
+    fields.read(file_at, file_count * 2);
+    const auto [change_at, change_count] = field(kSspiOffset + 8);
+    out.changes_password = change_count > 0 || (flags3 & kChangePasswordFlag);
+    fields.read(change_at, change_count * 2);
+    if ((flags3 & kExtensionFlag) && extension_size > 0) {
+        if (extension_size < 4) throw ProtocolError("a LOGIN7 extension shorter than its 4 bytes");
+        const auto at = FieldReader(fields.read(extension_at, extension_size)).u32();
+        if (at < kFixedBytes || at >= payload.size())
+            throw ProtocolError("a LOGIN7 field that lies outside the message");
         out.features = read_features(payload.substr(at));
     }
     return out;
@@ -190,46 +198,47 @@
 
 std::string build_login(const Login& login) {
     std::string data, fixed;
-    const auto place = [&](std::string_view bytes, std::size_t count) {
-        FieldWriter(fixed).u16(kFixed + data.size()).u16(count);
+    const auto append_field = [&](std::string_view bytes, std::size_t count) {
+        FieldWriter(fixed).u16(kFixedBytes + data.size()).u16(count);
         data.append(bytes);
     };
-    const auto text = [&](const std::string& t) {
-        const auto units = to_utf16(t);
-        place(units, units.size() / 2);
+    const auto append_text = [&](const std::string& text) {
+        const auto units = to_utf16(text);
+        append_field(units, units.size() / 2);
     };
     FieldWriter(fixed).u32(0).u32(login.version).u32(login.packet_size).u32(0).u32(0).u32(0);
     FieldWriter(fixed)
         .u8(0)
-        .u8(login.integrated ? kIntegrated : 0)
+        .u8(login.integrated ? kIntegratedFlag : 0)
         .u8(0)
-        .u8(login.features.empty() ? 0 : kExtension);
+        .u8(login.features.empty() ? 0 : kExtensionFlag);
     FieldWriter(fixed).u32(0).u32(0);
-    text(login.host);
-    text(login.user);
-    const auto password = veiled(to_utf16(login.password), true);
-    place(password, password.size() / 2);
-    text(login.app);
-    text(login.server);
+    append_text(login.host);
+    append_text(login.user);
+    const auto password = obfuscated(to_utf16(login.password), true);
+    append_field(password, password.size() / 2);
+    append_text(login.app);
+    append_text(login.server);
     const auto extension = fixed.size();
     FieldWriter(fixed).u16(0).u16(0);
-    text(login.library);
-    text(login.language);
-    text(login.database);
-    fixed.append(kAfterId - kClientId, '\0');
-    for (int i = 0; i < 3; ++i) FieldWriter(fixed).u16(kFixed + data.size()).u16(0);
+    append_text(login.library);
+    append_text(login.language);
+    append_text(login.database);
+    fixed.append(kSspiOffset - kClientIdOffset, '\0');
+    for (int i = 0; i < 3; ++i) FieldWriter(fixed).u16(kFixedBytes + data.size()).u16(0);
     FieldWriter(fixed).u32(0);
     if (!login.features.empty()) {
         std::string at;
-        FieldWriter(at).u16(kFixed + data.size()).u16(4);
+        FieldWriter(at).u16(kFixedBytes + data.size()).u16(4);
         fixed.replace(extension, 4, at);
-        FieldWriter(data).u32(kFixed + data.size() + 4);
+        FieldWriter(data).u32(kFixedBytes + data.size() + 4);
         for (const auto& [id, value] : login.features)
             FieldWriter(data).u8(id).u32(value.size()).bytes(value);
         FieldWriter(data).u8(kTerminator);
     }
     auto out = fixed + data;
-    if (out.size() > kMostLogin) throw ProtocolError("a login too long for its offsets");
+    if (out.size() > kMaxLoginBytes)
+        throw ProtocolError("a LOGIN7 message of more than 64 KiB, which its offsets cannot address");
     std::string size;
     FieldWriter(size).u32(out.size());
     out.replace(0, 4, size);
--- a/src/wire/tds/login.h
+++ b/src/wire/tds/login.h
@@ -1,4 +1,4 @@
-// The beginning of a session: PRELOGIN and LOGIN7. Source: MS-TDS 2.2.6.4 and 2.2.6.5.
+// PRELOGIN and LOGIN7, the first messages of a client session. Source: MS-TDS 2.2.6.4 and 2.2.6.5.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace sloestack::tds {
 
-// Versions as LOGIN7 names them.
+// Values of the TDSVersion field of LOGIN7.
 constexpr std::uint32_t kVersion72 = 0x72090002, kVersion73a = 0x730a0003, kVersion73b = 0x730b0003,
                         kVersion74 = 0x74000004;
 
@@ -20,12 +20,13 @@
 struct Prelogin {
     std::uint32_t version = 0;  // of the sender's product: major, minor, build
     Encryption encryption = Encryption::off;
-    bool mars = false;  // several requests at once on one connection: not spoken here
+    bool mars = false;  // several requests at once on one connection, which is not supported
     std::string instance;
-    // Options that are not read here, by their token; a server ignores those it does not know.
-    std::vector<std::uint8_t> others;
+    // Tokens of the options that are not parsed; a receiver ignores options it does not know.
+    std::vector<std::uint8_t> unknown_options;
 };
-// Throws ProtocolError where an option lies outside the message, or the list has no end.
+// Throws ProtocolError if an option lies outside the message or has a wrong size, or the list has no
+// terminator.
 Prelogin read_prelogin(std::string_view payload);
 std::string build_prelogin(const Prelogin& prelogin);
 
@@ -33,14 +34,14 @@
     std::uint32_t version = kVersion74;
     std::size_t packet_size = kDefaultPacketBytes;
     std::string host, user, app, server, library, language, database;
-    // Held no longer than needed and never part of a message or a log.
+    // Must be discarded as soon as it is not needed and must never appear in a message or a log line.
     std::string password;
-    bool integrated = false;  // asks for SSPI, which is not spoken here
+    bool integrated = false;  // the client requests SSPI authentication, which is not supported
     bool changes_password = false, attaches_file = false;
-    std::map<std::uint8_t, std::string> features;  // FEATUREEXT, by id
+    std::map<std::uint8_t, std::string> features;  // FEATUREEXT: data by feature ID
 };
-// Throws ProtocolError where a field lies outside the message, lies within the fixed part, or two overlap;
-// where the version is none of 7.2 to 7.4; and where a text is no UTF-16.
+// Throws ProtocolError if a field lies outside the message or in its fixed part, if two fields overlap, if
+// the version is not one of 7.2 to 7.4, and if a text is not valid UTF-16.
 Login read_login(std::string_view payload);
 std::string build_login(const Login& login);
 
--- a/src/wire/tds/request.h
+++ b/src/wire/tds/request.h
@@ -1,5 +1,5 @@
-// What a client asks: a batch of SQL, or the call of sp_executesql. Source: MS-TDS 2.2.6.6, 2.2.6.7
-// and 2.2.5.3.
+// The requests of a client: a SQL batch, or an RPC request of sp_executesql.
+// Source: MS-TDS 2.2.6.6, 2.2.6.7 and 2.2.5.3.
 #pragma once
 
 #include <optional>
@@ -15,15 +15,16 @@
     std::string name;
     bool by_reference = false;
     ColumnType type;
-    std::optional<std::string> value;  // as on the wire, without its length; nothing for NULL
+    std::optional<std::string> value;  // encoded as on the wire, without its length; std::nullopt is NULL
 };
 struct Request {
     std::string statement;  // UTF-8
     std::uint64_t transaction = 0;
-    std::vector<Parameter> parameters;  // of sp_executesql, behind the statement
+    std::vector<Parameter> parameters;  // of sp_executesql, after the statement
 };
-// `payload` is a whole message. Throws ProtocolError, also where ALL_HEADERS do not fill their length, name a
-// header twice or ask for several requests at once; and where the call is of another procedure.
+// Both take the payload of a whole message. Both throw ProtocolError if the message is malformed, if
+// ALL_HEADERS do not fill their length, have two transaction headers or have more than one request
+// outstanding, and, for an RPC request, if the procedure is not sp_executesql.
 Request read_batch(std::string_view payload);
 Request read_rpc(std::string_view payload);
 std::string build_batch(std::string_view statement);
--- a/src/wire/tds/text.h
+++ b/src/wire/tds/text.h
@@ -1,5 +1,5 @@
-// UTF-16, as TDS has it (little-endian), to and from UTF-8, by utfcpp. Lone surrogates and bytes that are no
-// UTF-8 are refused, never replaced: a statement that is not what its client sent must not run.
+// Converts between UTF-8 and the little-endian UTF-16 of TDS with utfcpp. Lone surrogates and invalid UTF-8
+// throw and are never replaced: a statement that differs from what the client sent must not run.
 #pragma once
 
 #include <string>
@@ -7,9 +7,9 @@
 
 namespace sloestack::tds {
 
-// Throws ProtocolError where `bytes` is of odd length or no UTF-16.
+// Throws ProtocolError if the length of `bytes` is odd or they are not valid UTF-16.
 std::string from_utf16(std::string_view bytes);
-// Throws ProtocolError where `text` is no UTF-8.
+// Throws ProtocolError if `text` is not valid UTF-8.
 std::string to_utf16(std::string_view text);
 
 }  // namespace sloestack::tds
--- a/src/wire/tds/value.cpp
+++ b/src/wire/tds/value.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::tds {
 namespace {
 
-constexpr std::uint32_t kLongest = 8000;  // of a type that is not (max)
+constexpr std::uint32_t kMaxTypeSizeBytes = 8000;  // of a type that is not (max)
 
 std::uint32_t fixed_size(TypeId id) {
     switch (id) {
@@ -27,37 +27,37 @@
     }
 }
 
-// Bytes of a time of day by its scale (MS-TDS 2.2.5.4.2).
+// Returns the size in bytes of a time of day by its scale (MS-TDS 2.2.5.4.2).
 std::uint32_t time_size(std::uint8_t scale) { return scale <= 2 ? 3 : scale <= 4 ? 4 : 5; }
 
-[[noreturn]] void refuse(const char* what, unsigned number) {
+[[noreturn]] void throw_protocol_error(const char* what, unsigned number) {
     throw ProtocolError(std::string(what) + " " + std::to_string(number));
 }
 
-// Whether a value of that many bytes can be one of the type; 0 stands for NULL where a byte holds the length.
-bool may_be(const ColumnType& t, std::size_t size) {
-    switch (t.id) {
+// Returns true if a value that is not NULL may have `size` bytes.
+bool is_valid_size(const ColumnType& type, std::size_t size) {
+    switch (type.id) {
         case TypeId::intn:
-            return size <= t.size && (size == 1 || size == 2 || size == 4 || size == 8);
+            return size <= type.size && (size == 1 || size == 2 || size == 4 || size == 8);
         case TypeId::floatn:
         case TypeId::datetimen:
-            return size <= t.size && (size == 4 || size == 8);
+            return size <= type.size && (size == 4 || size == 8);
         case TypeId::bitn:
             return size == 1;
         case TypeId::decimaln:
         case TypeId::numericn:
-            return size <= t.size && (size == 5 || size == 9 || size == 13 || size == 17);
+            return size <= type.size && (size == 5 || size == 9 || size == 13 || size == 17);
         case TypeId::daten:
         case TypeId::timen:
         case TypeId::datetime2n:
         case TypeId::datetimeoffsetn:
-            return size == t.size;
+            return size == type.size;
         default:
-            return size <= t.size;
+            return size <= type.size;
     }
 }
 
-bool has_short_length(TypeId id) { return static_cast<std::uint8_t>(id) >= 0xa5; }
+bool has_16_bit_length(TypeId id) { return static_cast<std::uint8_t>(id) >= 0xa5; }
 
 }  // namespace
 
@@ -67,152 +67,157 @@
 bool ColumnType::fixed() const { return fixed_size(id) > 0; }
 
 ColumnType read_type(FieldReader& in) {
-    ColumnType t;
+    ColumnType type;
     const auto number = in.u8();
-    t.id = static_cast<TypeId>(number);
-    if (const auto size = fixed_size(t.id)) {
-        t.size = size;
-        return t;
+    type.id = static_cast<TypeId>(number);
+    if (const auto size = fixed_size(type.id)) {
+        type.size = size;
+        return type;
     }
-    const auto one_of = [&](std::initializer_list<std::uint32_t> sizes) {
-        if (std::find(sizes.begin(), sizes.end(), t.size) == sizes.end())
-            refuse("a type of a size it cannot have:", t.size);
+    const auto require_size_in = [&](std::initializer_list<std::uint32_t> sizes) {
+        if (std::find(sizes.begin(), sizes.end(), type.size) == sizes.end())
+            throw_protocol_error("a size that is not valid for its type:", type.size);
     };
-    const auto scale = [&] {
-        t.scale = in.u8();
-        if (t.scale > 7) refuse("a time of a scale it cannot have:", t.scale);
+    const auto read_scale = [&] {
+        type.scale = in.u8();
+        if (type.scale > 7) throw_protocol_error("a time whose scale is above 7:", type.scale);
     };
-    switch (t.id) {
+    switch (type.id) {
         case TypeId::intn:
-            t.size = in.u8();
-            one_of({1, 2, 4, 8});
-            return t;
+            type.size = in.u8();
+            require_size_in({1, 2, 4, 8});
+            return type;
         case TypeId::bitn:
-            t.size = in.u8();
-            one_of({1});
-            return t;
+            type.size = in.u8();
+            require_size_in({1});
+            return type;
         case TypeId::floatn:
         case TypeId::datetimen:
-            t.size = in.u8();
-            one_of({4, 8});
-            return t;
+            type.size = in.u8();
+            require_size_in({4, 8});
+            return type;
         case TypeId::decimaln:
         case TypeId::numericn:
-            t.size = in.u8();
-            one_of({5, 9, 13, 17});
-            t.precision = in.u8();
-            t.scale = in.u8();
-            if (t.precision < 1 || t.precision > 38 || t.scale > t.precision)
-                refuse("a decimal of a precision it cannot have:", t.precision);
-            return t;
+            type.size = in.u8();
+            require_size_in({5, 9, 13, 17});
+            type.precision = in.u8();
+            type.scale = in.u8();
+            if (type.precision < 1 || type.precision > 38 || type.scale > type.precision)
+                throw_protocol_error("a decimal with a precision outside 1 to 38 or a scale above it:",
+                                     type.precision);
+            return type;
         case TypeId::daten:
-            t.size = 3;
-            return t;
+            type.size = 3;
+            return type;
         case TypeId::timen:
-            scale();
-            t.size = time_size(t.scale);
-            return t;
+            read_scale();
+            type.size = time_size(type.scale);
+            return type;
         case TypeId::datetime2n:
-            scale();
-            t.size = time_size(t.scale) + 3;
-            return t;
+            read_scale();
+            type.size = time_size(type.scale) + 3;
+            return type;
         case TypeId::datetimeoffsetn:
-            scale();
-            t.size = time_size(t.scale) + 5;
-            return t;
+            read_scale();
+            type.size = time_size(type.scale) + 5;
+            return type;
         case TypeId::varbinary:
         case TypeId::varchar:
         case TypeId::nvarchar:
         case TypeId::binary:
         case TypeId::character:
         case TypeId::nchar: {
-            t.size = in.u16();
-            t.max = t.size == kMaxLength;
-            if (t.max && (t.id == TypeId::binary || t.id == TypeId::character || t.id == TypeId::nchar))
-                refuse("a type of a size it cannot have:", t.size);
-            if (!t.max && t.size > kLongest) refuse("a type of a size it cannot have:", t.size);
-            if (t.is_text()) {
-                const auto bytes = in.bytes(t.collation.size());
-                std::copy(bytes.begin(), bytes.end(), t.collation.begin());
+            type.size = in.u16();
+            type.max = type.size == kMaxLength;
+            if (type.max &&
+                (type.id == TypeId::binary || type.id == TypeId::character || type.id == TypeId::nchar))
+                throw_protocol_error("a size that is not valid for its type:", type.size);
+            if (!type.max && type.size > kMaxTypeSizeBytes)
+                throw_protocol_error("a size that is not valid for its type:", type.size);
+            if (type.is_text()) {
+                const auto bytes = in.bytes(type.collation.size());
+                std::copy(bytes.begin(), bytes.end(), type.collation.begin());
             }
-            return t;
+            return type;
         }
         default:
-            refuse("a type that is not known here:", number);
+            throw_protocol_error("unsupported type", number);
     }
 }
 
-void put_type(std::string& out, const ColumnType& t) {
-    FieldWriter put(out);
-    put.u8(static_cast<std::uint8_t>(t.id));
-    if (t.fixed() || t.id == TypeId::daten) return;
-    switch (t.id) {
+void put_type(std::string& out, const ColumnType& type) {
+    FieldWriter fields(out);
+    fields.u8(static_cast<std::uint8_t>(type.id));
+    if (type.fixed() || type.id == TypeId::daten) return;
+    switch (type.id) {
         case TypeId::timen:
         case TypeId::datetime2n:
         case TypeId::datetimeoffsetn:
-            put.u8(t.scale);
+            fields.u8(type.scale);
             return;
         case TypeId::decimaln:
         case TypeId::numericn:
-            put.u8(t.size).u8(t.precision).u8(t.scale);
+            fields.u8(type.size).u8(type.precision).u8(type.scale);
             return;
         default:
             break;
     }
-    if (!has_short_length(t.id)) return void(put.u8(t.size));
-    put.u16(t.max ? kMaxLength : t.size);
-    if (t.is_text()) out.append(t.collation.begin(), t.collation.end());
+    if (!has_16_bit_length(type.id)) return void(fields.u8(type.size));
+    fields.u16(type.max ? kMaxLength : type.size);
+    if (type.is_text()) out.append(type.collation.begin(), type.collation.end());
 }
 
-std::optional<std::string> read_value(FieldReader& in, const ColumnType& t) {
-    if (t.fixed()) return std::string(in.bytes(t.size));
+std::optional<std::string> read_value(FieldReader& in, const ColumnType& type) {
+    if (type.fixed()) return std::string(in.bytes(type.size));
     std::size_t size = 0;
-    if (has_short_length(t.id)) {
+    if (has_16_bit_length(type.id)) {
         size = in.u16();
         if (size == kNullLength) return std::nullopt;
     } else {
         size = in.u8();
         if (size == 0) return std::nullopt;
     }
-    if (!may_be(t, size))
-        refuse("a value of a length that its type cannot have:", static_cast<unsigned>(size));
-    if ((t.id == TypeId::nvarchar || t.id == TypeId::nchar) && size % 2)
-        throw ProtocolError("a text of half a character");
+    if (!is_valid_size(type, size))
+        throw_protocol_error("a value with a length that is not valid for its type:",
+                             static_cast<unsigned>(size));
+    if ((type.id == TypeId::nvarchar || type.id == TypeId::nchar) && size % 2)
+        throw ProtocolError("a UTF-16 text with an odd number of bytes");
     return std::string(in.bytes(size));
 }
 
-void put_value(std::string& out, const ColumnType& t, std::optional<std::string_view> value) {
-    FieldWriter put(out);
-    if (!t.fixed()) {
-        if (has_short_length(t.id))
-            put.u16(value ? value->size() : kNullLength);
+void put_value(std::string& out, const ColumnType& type, std::optional<std::string_view> value) {
+    FieldWriter fields(out);
+    if (!type.fixed()) {
+        if (has_16_bit_length(type.id))
+            fields.u16(value ? value->size() : kNullLength);
         else
-            put.u8(value ? value->size() : 0);
+            fields.u8(value ? value->size() : 0);
     }
-    if (value) put.bytes(*value);
+    if (value) fields.bytes(*value);
 }
 
-std::optional<std::string> read_chunks(FieldReader& in, std::size_t most) {
+std::optional<std::string> read_chunks(FieldReader& in, std::size_t max_size) {
     const auto total = in.u64();
     if (total == kNullChunks) return std::nullopt;
-    if (total != kUnknownLength && total > most)
-        throw ProtocolError("a value of " + std::to_string(total) + " bytes");
+    if (total != kUnknownLength && total > max_size)
+        throw ProtocolError("a value of " + std::to_string(total) + " bytes, above the limit");
     std::string out;
     for (auto size = in.u32(); size != 0; size = in.u32()) {
-        if (size > most - out.size()) throw ProtocolError("a value longer than it may be");
+        if (size > max_size - out.size())
+            throw ProtocolError("a value in chunks above the limit of its size");
         out.append(in.bytes(size));
     }
     if (total != kUnknownLength && total != out.size())
-        throw ProtocolError("a value that is not as long as it says");
+        throw ProtocolError("a value whose chunks do not add up to its total length");
     return out;
 }
 
 void put_chunks(std::string& out, std::optional<std::string_view> value) {
-    FieldWriter put(out);
-    if (!value) return void(put.u64(kNullChunks));
-    put.u64(value->size());
-    if (!value->empty()) put.u32(value->size()).bytes(*value);
-    put.u32(0);
+    FieldWriter fields(out);
+    if (!value) return void(fields.u64(kNullChunks));
+    fields.u64(value->size());
+    if (!value->empty()) fields.u32(value->size()).bytes(*value);
+    fields.u32(0);
 }
 
 }  // namespace sloestack::tds
--- a/src/wire/tds/value.h
+++ b/src/wire/tds/value.h
@@ -1,4 +1,4 @@
-// Types of columns and parameters, and values of them. Source: MS-TDS 2.2.5.4 to 2.2.5.6.
+// Types of columns and parameters, and their values. Source: MS-TDS 2.2.5.4 to 2.2.5.6.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace sloestack::tds {
 
-// The types that are read here; any other is refused by its number, since its length cannot be guessed at.
+// The supported types. Any other type is an error, since the length of its values is not known.
 enum class TypeId : std::uint8_t {
     int1 = 0x30,
     bit = 0x32,
@@ -42,30 +42,34 @@
 
 struct ColumnType {
     TypeId id = TypeId::int4;
-    std::uint32_t size = 0;  // most bytes of a value; of a fixed type exactly
-    bool max = false;        // varchar(max) and its like: values come in chunks
+    std::uint32_t size = 0;  // of a value, in bytes: the maximum, or exactly this for a fixed-length type
+    bool max = false;        // (max), as in varchar(max): values are sent in chunks
     std::uint8_t precision = 0, scale = 0;
-    std::array<std::uint8_t, 5> collation{};  // of texts
+    std::array<std::uint8_t, 5> collation{};  // of a character type
 
     bool is_text() const;
-    bool fixed() const;  // a value has no length before it
+    // Returns true if the type has a fixed length, so that no length precedes a value.
+    bool fixed() const;
 };
-// Throws ProtocolError naming the number of a type that is not read here, and where size, precision or scale
-// are none that the type can have.
+// Parses a TYPE_INFO. Throws ProtocolError, which names the number of a type that is not supported, and if
+// size, precision or scale are not valid for the type.
 ColumnType read_type(FieldReader& in);
 void put_type(std::string& out, const ColumnType& type);
 
-// A value that is not in chunks; nothing for NULL. Throws ProtocolError where its length is none that its
-// type can have.
+// Reads a value that is not sent in chunks; std::nullopt is NULL. Throws ProtocolError if its length is not
+// valid for its type.
 std::optional<std::string> read_value(FieldReader& in, const ColumnType& type);
 void put_value(std::string& out, const ColumnType& type, std::optional<std::string_view> value);
-// One in chunks, whole; at most `most` bytes.
-std::optional<std::string> read_chunks(FieldReader& in, std::size_t most);
+// Reads all chunks of a value (MS-TDS: partially length-prefixed, PLP). Throws ProtocolError if it has more
+// than `max_size` bytes or not as many as its total length states.
+std::optional<std::string> read_chunks(FieldReader& in, std::size_t max_size);
 void put_chunks(std::string& out, std::optional<std::string_view> value);
 
+// Values of a chunked value's total length that stand for NULL and for a length that is not known.
 constexpr std::uint64_t kNullChunks = ~std::uint64_t{0}, kUnknownLength = ~std::uint64_t{0} - 1;
+// Values of a 16-bit length: a value's that stands for NULL, and a type's that stands for (max).
 constexpr std::uint16_t kNullLength = 0xffff, kMaxLength = 0xffff;
-constexpr std::size_t kMaxParameterBytes =
-    8 * 1024 * 1024 + 64 * 1024;  // of a statement: as on the PostgreSQL side
+// A parameter may hold a statement of up to 8 MiB, as with PostgreSQL.
+constexpr std::size_t kMaxParameterBytes = 8 * 1024 * 1024 + 64 * 1024;
 
 }  // namespace sloestack::tds
--- a/tests/record/tds_dialect_test.cpp
+++ b/tests/record/tds_dialect_test.cpp
@@ -167,7 +167,7 @@
 TEST(TdsDialect, WhatIsNoProtocolEndsThatDirection) {
     Talk t(tds());
     t.say(Side::client, std::string("\x16\x03\x01\x02\x00", 5));
-    EXPECT_NE(t.heard.log.back().find("a packet of type 22"), std::string::npos);
+    EXPECT_NE(t.heard.log.back().find("unsupported packet type 22"), std::string::npos);
     Session u;
     u.say(Side::server, message(wire::PacketType::result, done(0)));
     EXPECT_NE(u.heard.log.back().find("an answer that nobody asked for"), std::string::npos);
--- a/tests/tds/tds_test.cpp
+++ b/tests/tds/tds_test.cpp
@@ -1,4 +1,4 @@
-// The codec of TDS: split anywhere, of any size, of any bytes.
+// TDS codec: packets, login, requests and tokens, whole, split at any byte and with random bytes.
 #include <gtest/gtest.h>
 
 #include "emulator/values.h"
@@ -23,8 +23,8 @@
     return out.append(payload);
 }
 
-// ---- packets ----
-TEST(TdsPacket, MessagesAreSplitAndPutTogether) {
+// ---- Packets ----
+TEST(TdsPacket, SplitsAndReassemblesMessages) {
     for (const std::size_t size : {0u, 1u, 503u, 504u, 505u, 1008u, 5000u}) {
         std::string out;
         PacketWriter writer(out);
@@ -33,60 +33,60 @@
         writer.message(PacketType::batch, payload);
         PacketReader reader;
         std::string_view left = out;
-        std::string got;
-        int parts = 0;
+        std::string read;
+        int packets = 0;
         bool last = false;
-        while (const auto part = reader.next(left)) {
-            got += part->payload;
-            left.remove_prefix(part->size);
-            EXPECT_EQ(part->type, PacketType::batch);
+        while (const auto packet = reader.next(left)) {
+            read += packet->payload;
+            left.remove_prefix(packet->size);
+            EXPECT_EQ(packet->type, PacketType::batch);
             EXPECT_FALSE(last);
-            last = part->is_last;
-            ++parts;
+            last = packet->is_last;
+            ++packets;
         }
-        EXPECT_EQ(got, payload);
+        EXPECT_EQ(read, payload);
         EXPECT_TRUE(last);
         EXPECT_TRUE(left.empty());
-        EXPECT_EQ(parts, size == 0 ? 1 : static_cast<int>((size + 503) / 504));
+        EXPECT_EQ(packets, size == 0 ? 1 : static_cast<int>((size + 503) / 504));
     }
 }
 
-TEST(TdsPacket, WhatIsNoneIsTurnedAwayAtItsHeader) {
-    const auto bad = [](std::string_view bytes) {
-        PacketReader p;
-        EXPECT_THROW(p.next(bytes), ProtocolError);
+TEST(TdsPacket, RejectsInvalidPacketByItsHeader) {
+    const auto expect_error = [](std::string_view bytes) {
+        PacketReader reader;
+        EXPECT_THROW(reader.next(bytes), ProtocolError);
     };
-    bad(std::string_view("\x01\x01\x00\x00", 4));    // size 0
-    bad(std::string_view("\x01\x01\x00\x07", 4));    // shorter than the header
-    bad(std::string_view("\x01\x01\x10\x01", 4));    // longer than what holds before the login
-    bad(std::string_view("\x07", 1));                // bulk load
-    bad(std::string_view("\x16\x03\x01", 3));        // TLS
-    bad(packet(0x01, status::ignore, "x"));          // called off, but not the last
-    bad(packet(0x06, status::end_of_message, "x"));  // an attention with a payload
-    PacketReader p;
-    EXPECT_FALSE(p.next(std::string_view("\x01\x01\x00", 3)));
-    EXPECT_FALSE(p.next(packet(0x01, 1, "abc").substr(0, 10)));
-    p.set_max_packet_size(32767);
-    EXPECT_FALSE(p.next(std::string_view("\x01\x01\x10\x01", 4)));
+    expect_error(std::string_view("\x01\x01\x00\x00", 4));    // size 0
+    expect_error(std::string_view("\x01\x01\x00\x07", 4));    // shorter than the header
+    expect_error(std::string_view("\x01\x01\x10\x01", 4));    // larger than the packet size before the login
+    expect_error(std::string_view("\x07", 1));                // bulk load
+    expect_error(std::string_view("\x16\x03\x01", 3));        // TLS
+    expect_error(packet(0x01, status::ignore, "x"));          // ignored, but not the last
+    expect_error(packet(0x06, status::end_of_message, "x"));  // an attention with a payload
+    PacketReader reader;
+    EXPECT_FALSE(reader.next(std::string_view("\x01\x01\x00", 3)));
+    EXPECT_FALSE(reader.next(packet(0x01, 1, "abc").substr(0, 10)));
+    reader.set_max_packet_size(32767);
+    EXPECT_FALSE(reader.next(std::string_view("\x01\x01\x10\x01", 4)));
 }
 
-TEST(TdsPacket, OnlyAnAttentionMayComeAmidAMessage) {
-    PacketReader p;
-    ASSERT_TRUE(p.next(packet(0x01, 0, "ab")));
-    EXPECT_TRUE(p.is_inside_message());
-    const auto attention = p.next(packet(0x06, status::end_of_message, ""));
+TEST(TdsPacket, AcceptsOnlyAttentionInsideAMessage) {
+    PacketReader reader;
+    ASSERT_TRUE(reader.next(packet(0x01, 0, "ab")));
+    EXPECT_TRUE(reader.is_inside_message());
+    const auto attention = reader.next(packet(0x06, status::end_of_message, ""));
     ASSERT_TRUE(attention);
     EXPECT_EQ(attention->type, PacketType::attention);
-    EXPECT_TRUE(p.is_inside_message());
-    EXPECT_THROW(p.next(packet(0x03, 1, "x")), ProtocolError);
-    const auto last = p.next(packet(0x01, status::end_of_message | status::ignore, ""));
+    EXPECT_TRUE(reader.is_inside_message());
+    EXPECT_THROW(reader.next(packet(0x03, 1, "x")), ProtocolError);
+    const auto last = reader.next(packet(0x01, status::end_of_message | status::ignore, ""));
     ASSERT_TRUE(last);
     EXPECT_TRUE(last->is_ignored);
-    EXPECT_FALSE(p.is_inside_message());
+    EXPECT_FALSE(reader.is_inside_message());
 }
 
-// ---- text ----
-TEST(TdsText, IsExactOrRefused) {
+// ---- Text ----
+TEST(TdsText, ConvertsExactlyOrThrows) {
     for (const std::string text : {"", "plain", "\xc3\xa4\xe2\x82\xac", "\xf0\x9f\x8d\x92"})
         EXPECT_EQ(from_utf16(to_utf16(text)), text);
     EXPECT_THROW(from_utf16("abc"), ProtocolError);
@@ -95,41 +95,42 @@
     EXPECT_THROW(to_utf16("\xff"), ProtocolError);
 }
 
-// ---- login ----
-Login sample() {
-    Login l;
-    l.user = "portal";
-    l.password =
+// ---- Login ----
+Login example_login() {
+    Login login;
+    login.user = "portal";
+    login.password =
         "s\xc3\xa4"
         "cret";
-    l.database = "crm";
-    l.host = "app-1";
-    l.app = "roster";
-    l.packet_size = 8192;
-    l.features[4] = "x";
-    return l;
+    login.database = "crm";
+    login.host = "app-1";
+    login.app = "roster";
+    login.packet_size = 8192;
+    login.features[4] = "x";
+    return login;
 }
 
-TEST(TdsLogin, ComesBackAsItWas) {
+TEST(TdsLogin, ReadsWhatBuildWrites) {
     for (const auto version : {kVersion72, kVersion73a, kVersion73b, kVersion74}) {
-        auto l = sample();
-        l.version = version;
-        const auto got = read_login(build_login(l));
-        EXPECT_EQ(got.version, version);
-        EXPECT_EQ(got.user, l.user);
-        EXPECT_EQ(got.password, l.password);
-        EXPECT_EQ(got.database, l.database);
-        EXPECT_EQ(got.packet_size, 8192u);
-        EXPECT_EQ(got.features, l.features);
+        auto login = example_login();
+        login.version = version;
+        const auto read = read_login(build_login(login));
+        EXPECT_EQ(read.version, version);
+        EXPECT_EQ(read.user, login.user);
+        EXPECT_EQ(read.password, login.password);
+        EXPECT_EQ(read.database, login.database);
+        EXPECT_EQ(read.packet_size, 8192u);
+        EXPECT_EQ(read.features, login.features);
     }
-    // Not in clear on the wire, and never in what an error says.
-    EXPECT_EQ(build_login(sample()).find(to_utf16("s\xc3\xa4"
-                                                  "cret")),
+    // The password is not readable on the wire.
+    EXPECT_EQ(build_login(example_login())
+                  .find(to_utf16("s\xc3\xa4"
+                                 "cret")),
               std::string::npos);
 }
 
-TEST(TdsLogin, FieldsOutsideOverlappingOrInTheFixedPartAreRefused) {
-    const auto good = build_login(sample());
+TEST(TdsLogin, RejectsFieldsThatOverlapOrLieOutsideTheVariablePart) {
+    const auto good = build_login(example_login());
     const auto with = [&](std::size_t at, std::initializer_list<int> bytes) {
         auto out = good;
         for (const auto b : bytes) out[at++] = static_cast<char>(b);
@@ -138,19 +139,20 @@
     EXPECT_THROW(read_login(good.substr(0, 93)), ProtocolError);
     EXPECT_THROW(read_login(good.substr(0, good.size() - 1)), ProtocolError);
     EXPECT_THROW(read_login(good + "x"), ProtocolError);
-    EXPECT_THROW(read_login(with(40, {0, 0})), ProtocolError);        // the user's name in the fixed part
+    EXPECT_THROW(read_login(with(40, {0, 0})), ProtocolError);        // the user name in the fixed part
     EXPECT_THROW(read_login(with(40, {0xff, 0xff})), ProtocolError);  // outside
-    EXPECT_THROW(read_login(with(42, {0x7f, 0})), ProtocolError);     // longer than what is left
+    EXPECT_THROW(read_login(with(42, {0x7f, 0})), ProtocolError);     // longer than the rest of the message
     EXPECT_THROW(read_login(with(42, {0xff, 0xff})), ProtocolError);  // longer than a name may be
     EXPECT_THROW(read_login(with(44, {good[40], good[41]})),
-                 ProtocolError);                                        // the password in the user's name
+                 ProtocolError);                                        // the password overlaps the user name
     EXPECT_THROW(read_login(with(4, {0, 0, 0, 0x71})), ProtocolError);  // version 7.1
     EXPECT_THROW(read_login(with(56, {0xff, 0x7f, 4, 0})), ProtocolError);
-    // No byte of it may be more than an error, whatever it is.
+    // Random bytes cause at most a ProtocolError, whose message does not contain the password.
     emulator::Random random(4);
-    for (int i = 0; i < 20'000; ++i) {
+    for (int round = 0; round < 20'000; ++round) {
         auto bytes = good;
-        for (int k = 0; k < 3; ++k) bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
+        for (int change = 0; change < 3; ++change)
+            bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
         try {
             read_login(bytes);
         } catch (const ProtocolError& error) {
@@ -159,50 +161,50 @@
     }
 }
 
-TEST(TdsLogin, Prelogin) {
-    Prelogin p;
-    p.version = 0x10000001;
-    p.encryption = Encryption::not_supported;
-    p.instance = "i";
-    p.mars = true;
-    const auto bytes = build_prelogin(p);
-    const auto got = read_prelogin(bytes);
-    EXPECT_EQ(got.version, p.version);
-    EXPECT_EQ(got.encryption, Encryption::not_supported);
-    EXPECT_EQ(got.instance, "i");
-    EXPECT_TRUE(got.mars);
-    for (std::size_t n = 0; n < bytes.size(); ++n)
-        EXPECT_THROW(read_prelogin(bytes.substr(0, n)), ProtocolError) << n;
+TEST(TdsLogin, ReadsPreloginThatBuildWritesAndRejectsInvalidOnes) {
+    Prelogin prelogin;
+    prelogin.version = 0x10000001;
+    prelogin.encryption = Encryption::not_supported;
+    prelogin.instance = "i";
+    prelogin.mars = true;
+    const auto bytes = build_prelogin(prelogin);
+    const auto read = read_prelogin(bytes);
+    EXPECT_EQ(read.version, prelogin.version);
+    EXPECT_EQ(read.encryption, Encryption::not_supported);
+    EXPECT_EQ(read.instance, "i");
+    EXPECT_TRUE(read.mars);
+    for (std::size_t size = 0; size < bytes.size(); ++size)
+        EXPECT_THROW(read_prelogin(bytes.substr(0, size)), ProtocolError) << size;
     EXPECT_THROW(read_prelogin(std::string_view("\x16\x03\x01\x00\x05\xff", 6)), ProtocolError);
-    auto bad = bytes;
-    bad[21 + 6] = 9;  // a word on encryption that is none
-    EXPECT_THROW(read_prelogin(bad), ProtocolError);
+    auto changed = bytes;
+    changed[21 + 6] = 9;  // an unknown value of ENCRYPTION
+    EXPECT_THROW(read_prelogin(changed), ProtocolError);
 }
 
-// ---- requests ----
-TEST(TdsRequest, BatchAndCallCarryTheirStatement) {
+// ---- Requests ----
+TEST(TdsRequest, ReadsBatchAndRpcThatBuildWrites) {
     const std::string statement = "SELECT data FROM facts WHERE code = N'\xc3\xa4' /* id=1 */";
     EXPECT_EQ(read_batch(build_batch(statement)).statement, statement);
-    Request call;
-    call.statement = statement;
-    Parameter p;
-    p.name = "@a";
-    p.type.id = TypeId::intn;
-    p.type.size = 4;
-    p.value = std::string("\1\0\0\0", 4);
-    call.parameters.push_back(p);
-    p.value.reset();
-    call.parameters.push_back(p);
-    const auto got = read_rpc(build_rpc(call));
-    EXPECT_EQ(got.statement, statement);
-    ASSERT_EQ(got.parameters.size(), 2u);
-    EXPECT_EQ(*got.parameters[0].value, std::string("\1\0\0\0", 4));
-    EXPECT_FALSE(got.parameters[1].value);
-    call.statement = std::string(100'000, 'x');  // beyond nvarchar(4000): in chunks
-    EXPECT_EQ(read_rpc(build_rpc(call)).statement, call.statement);
+    Request request;
+    request.statement = statement;
+    Parameter parameter;
+    parameter.name = "@a";
+    parameter.type.id = TypeId::intn;
+    parameter.type.size = 4;
+    parameter.value = std::string("\1\0\0\0", 4);
+    request.parameters.push_back(parameter);
+    parameter.value.reset();
+    request.parameters.push_back(parameter);
+    const auto read = read_rpc(build_rpc(request));
+    EXPECT_EQ(read.statement, statement);
+    ASSERT_EQ(read.parameters.size(), 2u);
+    EXPECT_EQ(*read.parameters[0].value, std::string("\1\0\0\0", 4));
+    EXPECT_FALSE(read.parameters[1].value);
+    request.statement = std::string(100'000, 'x');  // longer than nvarchar(4000): in chunks
+    EXPECT_EQ(read_rpc(build_rpc(request)).statement, request.statement);
 }
 
-TEST(TdsRequest, BadHeadersAndCallsAreRefused) {
+TEST(TdsRequest, RejectsInvalidHeadersAndRpcRequests) {
     const auto good = build_batch("SELECT 1");
     const auto with = [&](std::size_t at, int byte) {
         auto out = good;
@@ -212,69 +214,72 @@
     EXPECT_THROW(read_batch(""), ProtocolError);
     EXPECT_THROW(read_batch(with(0, 3)), ProtocolError);     // headers shorter than their own length
     EXPECT_THROW(read_batch(with(0, 0xff)), ProtocolError);  // longer than the message
-    EXPECT_THROW(read_batch(with(4, 5)), ProtocolError);     // a header shorter than its head
-    EXPECT_THROW(read_batch(with(4, 19)), ProtocolError);    // one that runs past the headers
-    EXPECT_THROW(read_batch(with(8, 9)), ProtocolError);     // of an unknown type
-    EXPECT_THROW(read_batch(with(8, 1)), ProtocolError);     // no transaction header at all
-    EXPECT_THROW(read_batch(with(18, 2)), ProtocolError);    // two requests at once
+    EXPECT_THROW(read_batch(with(4, 5)), ProtocolError);     // a header shorter than its length and type
+    EXPECT_THROW(read_batch(with(4, 19)), ProtocolError);    // a header that runs past ALL_HEADERS
+    EXPECT_THROW(read_batch(with(8, 9)), ProtocolError);     // a header of an unknown type
+    EXPECT_THROW(read_batch(with(8, 1)), ProtocolError);     // no transaction descriptor header
+    EXPECT_THROW(read_batch(with(18, 2)), ProtocolError);    // two requests outstanding
     EXPECT_THROW(read_batch(good + "x"), ProtocolError);     // half a character
-    auto other = build_rpc({"SELECT 1", 0, {}});
-    other[24] = 11;
-    EXPECT_THROW(read_rpc(other), ProtocolError);
-    const auto call = build_rpc({"SELECT 1", 0, {}});
-    for (std::size_t n = 0; n < call.size(); ++n)
-        EXPECT_THROW(read_rpc(call.substr(0, n)), ProtocolError) << n;
-    EXPECT_THROW(read_rpc(call + "\xff"), ProtocolError);
+    auto other_procedure = build_rpc({"SELECT 1", 0, {}});
+    other_procedure[24] = 11;
+    EXPECT_THROW(read_rpc(other_procedure), ProtocolError);
+    const auto rpc = build_rpc({"SELECT 1", 0, {}});
+    for (std::size_t size = 0; size < rpc.size(); ++size)
+        EXPECT_THROW(read_rpc(rpc.substr(0, size)), ProtocolError) << size;
+    EXPECT_THROW(read_rpc(rpc + "\xff"), ProtocolError);
 }
 
-// ---- values and tokens ----
-struct Heard final : TokenEvents {
-    std::vector<std::string> log;
+// ---- Values and tokens ----
+// Logs each event as a line of text.
+struct EventLog final : TokenEvents {
+    std::vector<std::string> lines;
     std::string chunks;
-    std::vector<Column> last;
-    void columns(const std::vector<Column>& c) override {
-        last = c;
-        log.push_back("columns " + std::to_string(c.size()));
+    std::vector<Column> last_columns;
+    void columns(const std::vector<Column>& columns) override {
+        last_columns = columns;
+        lines.push_back("columns " + std::to_string(columns.size()));
     }
-    void row() override { log.push_back("row"); }
-    void value(std::size_t c, std::optional<std::string_view> b) override {
-        log.push_back("value " + std::to_string(c) + " " + (b ? std::string(*b) : "NULL"));
+    void row() override { lines.push_back("row"); }
+    void value(std::size_t column, std::optional<std::string_view> bytes) override {
+        lines.push_back("value " + std::to_string(column) + " " + (bytes ? std::string(*bytes) : "NULL"));
     }
-    void begin_value(std::size_t c, std::optional<std::uint64_t> size) override {
-        log.push_back("begins " + std::to_string(c) + " " + (size ? std::to_string(*size) : "?"));
+    void begin_value(std::size_t column, std::optional<std::uint64_t> size) override {
+        lines.push_back("begins " + std::to_string(column) + " " + (size ? std::to_string(*size) : "?"));
         chunks.clear();
     }
-    void value_chunk(std::string_view b) override { chunks += b; }
-    void end_value() override { log.push_back("ends " + std::to_string(chunks.size())); }
-    void error(const ErrorOrInfo& n) override {
-        log.push_back("error " + std::to_string(n.number) + " " + n.text);
+    void value_chunk(std::string_view bytes) override { chunks += bytes; }
+    void end_value() override { lines.push_back("ends " + std::to_string(chunks.size())); }
+    void error(const ErrorOrInfo& error) override {
+        lines.push_back("error " + std::to_string(error.number) + " " + error.text);
+    }
+    void info(const ErrorOrInfo& info) override {
+        lines.push_back("info " + std::to_string(info.number) + " " + info.text);
     }
-    void info(const ErrorOrInfo& n) override {
-        log.push_back("info " + std::to_string(n.number) + " " + n.text);
+    void env_change(const EnvChange& change) override {
+        lines.push_back("env change " + std::to_string(change.type) + " " + change.new_value);
     }
-    void env_change(const EnvChange& c) override {
-        log.push_back("changed " + std::to_string(c.type) + " " + c.new_value);
+    void login_ack(const LoginAck& login_ack) override {
+        lines.push_back("login ack " + std::to_string(login_ack.version) + " " + login_ack.program);
     }
-    void login_ack(const LoginAck& a) override {
-        log.push_back("acknowledged " + std::to_string(a.version) + " " + a.program);
+    void return_status(std::int32_t status) override {
+        lines.push_back("return status " + std::to_string(status));
     }
-    void return_status(std::int32_t v) override { log.push_back("returned " + std::to_string(v)); }
-    void done(const Done& d) override {
-        log.push_back("done " + std::to_string(d.status) + " " + std::to_string(d.rows));
+    void done(const Done& done) override {
+        lines.push_back("done " + std::to_string(done.status) + " " + std::to_string(done.rows));
     }
 };
 
 ColumnType type_of(TypeId id, std::uint32_t size = 0, std::uint8_t scale = 0, std::uint8_t precision = 0) {
-    ColumnType t;
-    t.id = id;
-    t.size = size;
-    t.scale = scale;
-    t.precision = precision;
-    t.max = size == kMaxLength;
-    return t;
+    ColumnType type;
+    type.id = id;
+    type.size = size;
+    type.scale = scale;
+    type.precision = precision;
+    type.max = size == kMaxLength;
+    return type;
 }
 
-// Every type that is read, with the bytes of one value of it.
+// Each supported type with the bytes of one value.
 const std::vector<std::pair<ColumnType, std::string>> kTypes = {
     {type_of(TypeId::int1), "1"},
     {type_of(TypeId::bit), "1"},
@@ -306,7 +311,8 @@
     {type_of(TypeId::nvarchar, kMaxLength), "la"},
 };
 
-std::string whole_answer(std::vector<std::string>& wanted) {
+// Returns a response with a value of every type, and fills `expected` with its events.
+std::string whole_response(std::vector<std::string>& expected) {
     std::string out;
     TokenBuilder build(out);
     build.login_ack({kVersion74, "sloestack", 1}).env_change({EnvChange::packet_size, "8192", "4096"});
@@ -315,121 +321,123 @@
     for (const auto& [type, value] : kTypes)
         columns.push_back({"c" + std::to_string(columns.size()), type, 0, 8});
     build.columns(columns).row();
-    wanted = {"acknowledged " + std::to_string(kVersion74) + " sloestack", "changed 4 8192",
-              "info 5701 changed database", "columns " + std::to_string(kTypes.size()), "row"};
+    expected = {"login ack " + std::to_string(kVersion74) + " sloestack", "env change 4 8192",
+                "info 5701 changed database", "columns " + std::to_string(kTypes.size()), "row"};
     std::vector<bool> nulls;
-    for (std::size_t i = 0; i < kTypes.size(); ++i) {
-        const auto& [type, value] = kTypes[i];
-        const auto number = std::to_string(i);
+    for (std::size_t index = 0; index < kTypes.size(); ++index) {
+        const auto& [type, value] = kTypes[index];
+        const auto number = std::to_string(index);
         if (type.max) {
             put_chunks(out, value);
-            wanted.push_back("begins " + number + " " + std::to_string(value.size()));
-            wanted.push_back("ends " + std::to_string(value.size()));
+            expected.push_back("begins " + number + " " + std::to_string(value.size()));
+            expected.push_back("ends " + std::to_string(value.size()));
         } else {
             put_value(out, type, value);
-            wanted.push_back("value " + number + " " + value);
+            expected.push_back("value " + number + " " + value);
         }
         nulls.push_back(!type.fixed());
     }
     build.row_with_nulls(nulls);
-    wanted.push_back("row");
-    for (std::size_t i = 0; i < kTypes.size(); ++i) {
-        if (!nulls[i]) put_value(out, kTypes[i].first, kTypes[i].second);
-        wanted.push_back("value " + std::to_string(i) + " " + (nulls[i] ? "NULL" : kTypes[i].second));
+    expected.push_back("row");
+    for (std::size_t index = 0; index < kTypes.size(); ++index) {
+        if (!nulls[index]) put_value(out, kTypes[index].first, kTypes[index].second);
+        expected.push_back("value " + std::to_string(index) + " " +
+                           (nulls[index] ? "NULL" : kTypes[index].second));
     }
     build.return_status(-3)
         .error({50001, 1, 16, "not now", "", "", 1})
         .done({Done::Kind::batch, done::error | done::count, 0, 2});
-    wanted.insert(wanted.end(), {"returned -3", "error 50001 not now", "done 18 2"});
+    expected.insert(expected.end(), {"return status -3", "error 50001 not now", "done 18 2"});
     return out;
 }
 
-TEST(TdsToken, AnAnswerIsTheSameHoweverItIsSplit) {
-    std::vector<std::string> wanted;
-    const auto bytes = whole_answer(wanted);
+TEST(TdsToken, ReportsTheSameEventsHoweverTheResponseIsSplit) {
+    std::vector<std::string> expected;
+    const auto bytes = whole_response(expected);
     for (const std::size_t step :
          {std::size_t{1}, std::size_t{2}, std::size_t{3}, std::size_t{17}, bytes.size()}) {
-        Heard heard;
-        TokenReader reader(heard);
+        EventLog events;
+        TokenReader reader(events);
         for (std::size_t at = 0; at < bytes.size(); at += step)
             reader.read(std::string_view(bytes).substr(at, step));
-        EXPECT_EQ(heard.log, wanted) << "step " << step;
+        EXPECT_EQ(events.lines, expected) << "step " << step;
         EXPECT_FALSE(reader.is_inside_token());
     }
-    // Wherever it ends short of its last byte, it is not whole: amid a token, or without its last one.
-    for (std::size_t n = 0; n < bytes.size(); ++n) {
-        Heard heard;
-        TokenReader reader(heard);
-        reader.read(std::string_view(bytes).substr(0, n));
-        EXPECT_TRUE(reader.is_inside_token() || heard.log.empty() || heard.log.back() != wanted.back());
+    // A response without its last bytes is incomplete: it ends inside a token, or the last token is missing.
+    for (std::size_t size = 0; size < bytes.size(); ++size) {
+        EventLog events;
+        TokenReader reader(events);
+        reader.read(std::string_view(bytes).substr(0, size));
+        EXPECT_TRUE(reader.is_inside_token() || events.lines.empty() ||
+                    events.lines.back() != expected.back());
     }
 }
 
-TEST(TdsToken, ALargeValuePassesWithoutBeingHeld) {
+TEST(TdsToken, PassesLargeValueWithoutBufferingIt) {
     std::string out;
     TokenBuilder(out).columns({{"data", type_of(TypeId::varbinary, kMaxLength), 0, 0}}).row();
     FieldWriter(out).u64(kUnknownLength);
     std::string value;
-    for (int i = 0; i < 500; ++i) {
-        const std::string chunk(8000 + static_cast<std::size_t>(i), static_cast<char>(i));
+    for (int index = 0; index < 500; ++index) {
+        const std::string chunk(8000 + static_cast<std::size_t>(index), static_cast<char>(index));
         FieldWriter(out).u32(chunk.size()).bytes(chunk);
         value += chunk;
     }
     FieldWriter(out).u32(0);
     TokenBuilder(out).done({});
-    Heard heard;
-    TokenReader reader(heard);
+    EventLog events;
+    TokenReader reader(events);
     for (std::size_t at = 0; at < out.size(); at += 4088) {
         reader.read(std::string_view(out).substr(at, 4088));
         ASSERT_LT(reader.buffered_bytes(), 100u);
     }
-    EXPECT_EQ(heard.chunks, value);
-    EXPECT_EQ(heard.log.back(), "done 0 0");
+    EXPECT_EQ(events.chunks, value);
+    EXPECT_EQ(events.lines.back(), "done 0 0");
 }
 
-TEST(TdsToken, WhatCannotBeIsRefused) {
-    const auto refused = [](const std::string& bytes) {
-        Heard heard;
-        TokenReader reader(heard);
+TEST(TdsToken, RejectsInvalidTokens) {
+    const auto expect_error = [](const std::string& bytes) {
+        EventLog events;
+        TokenReader reader(events);
         EXPECT_THROW(reader.read(bytes), ProtocolError);
     };
-    refused("\x01");                  // an unknown token
-    refused(std::string("\xd1", 1));  // a row before its columns
-    std::string unknown("\x81\1\0\0\0\0\0\0\0", 9);
-    refused(unknown + '\x22');                // image
-    refused(unknown + "\x26\3");              // an integer of three bytes
-    refused(unknown + "\x6a\x05\x27\1");      // a decimal of precision 39
-    refused(unknown + "\x29\x08");            // a time of scale 8
-    refused(unknown + "\xa5\x41\x1f");        // varbinary(8001)
-    refused(std::string("\x81\x01\x10", 3));  // 4,097 columns
-    const auto column = [](const ColumnType& t) {
+    expect_error("\x01");                  // an unknown token
+    expect_error(std::string("\xd1", 1));  // a row before its columns
+    std::string one_column("\x81\1\0\0\0\0\0\0\0", 9);
+    expect_error(one_column + '\x22');             // image
+    expect_error(one_column + "\x26\3");           // an integer of three bytes
+    expect_error(one_column + "\x6a\x05\x27\1");   // a decimal of precision 39
+    expect_error(one_column + "\x29\x08");         // a time of scale 8
+    expect_error(one_column + "\xa5\x41\x1f");     // varbinary(8001)
+    expect_error(std::string("\x81\x01\x10", 3));  // 4,097 columns
+    const auto row_of = [](const ColumnType& type) {
         std::string out;
-        TokenBuilder(out).columns({{"c", t, 0, 0}}).row();
+        TokenBuilder(out).columns({{"c", type, 0, 0}}).row();
         return out;
     };
-    refused(column(type_of(TypeId::intn, 4)) + "\x08");  // longer than its column
-    refused(column(type_of(TypeId::nvarchar, 10)) + std::string("\3\0abc", 5));
-    const auto large = column(type_of(TypeId::varbinary, kMaxLength));
-    std::string three;
-    FieldWriter(three).u64(3).u32(0xc0000000);  // a chunk of 3 GB in a value of three bytes
-    refused(large + three);
-    std::string less;
-    FieldWriter(less).u64(3).u32(1).bytes("x").u32(0);
-    refused(large + less);
+    expect_error(row_of(type_of(TypeId::intn, 4)) + "\x08");  // longer than its column
+    expect_error(row_of(type_of(TypeId::nvarchar, 10)) + std::string("\3\0abc", 5));
+    const auto large = row_of(type_of(TypeId::varbinary, kMaxLength));
+    std::string too_large_chunk;
+    FieldWriter(too_large_chunk).u64(3).u32(0xc0000000);  // a chunk of 3 GB in a value of three bytes
+    expect_error(large + too_large_chunk);
+    std::string too_few_bytes;
+    FieldWriter(too_few_bytes).u64(3).u32(1).bytes("x").u32(0);
+    expect_error(large + too_few_bytes);
     std::string feature("\xae\1", 2);
     FieldWriter(feature).u32(0xc0000000);
-    refused(feature);
-    std::string notice;
-    TokenBuilder(notice).error({1, 1, 16, "text", "", "", 1});
-    notice[9] = 99;  // the text's length, beyond the token's
-    refused(notice);
-    // One in chunks that never ends: nothing is held, and the answer is not whole.
+    expect_error(feature);
+    std::string error;
+    TokenBuilder(error).error({1, 1, 16, "text", "", "", 1});
+    error[9] = 99;  // the length of the text, beyond that of the token
+    expect_error(error);
+    // A chunk that never ends is not buffered, and the response stays incomplete.
     std::string endless;
     FieldWriter(endless).u64(kUnknownLength).u32(0xffffffff);
-    Heard heard;
-    TokenReader reader(heard);
+    EventLog events;
+    TokenReader reader(events);
     reader.read(large + endless);
-    for (int i = 0; i < 1000; ++i) reader.read(std::string(4088, 'x'));
+    for (int packet_count = 0; packet_count < 1000; ++packet_count) reader.read(std::string(4088, 'x'));
     EXPECT_TRUE(reader.is_inside_token());
     EXPECT_EQ(reader.buffered_bytes(), 0u);
     EXPECT_THROW(
@@ -440,16 +448,16 @@
         ProtocolError);
 }
 
-TEST(TdsToken, AnyBytesEndInAnErrorAtWorst) {
-    std::vector<std::string> wanted;
-    const auto good = whole_answer(wanted);
+TEST(TdsToken, ThrowsOnlyProtocolErrorForRandomBytes) {
+    std::vector<std::string> expected;
+    const auto good = whole_response(expected);
     emulator::Random random(9);
-    for (int i = 0; i < 20'000; ++i) {
+    for (int round = 0; round < 20'000; ++round) {
         auto bytes = good;
-        for (auto n = random.between(1, 4); n > 0; --n)
+        for (auto changes = random.between(1, 4); changes > 0; --changes)
             bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
-        Heard heard;
-        TokenReader reader(heard);
+        EventLog events;
+        TokenReader reader(events);
         try {
             const auto step = static_cast<std::size_t>(random.between(1, 200));
             for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -461,15 +469,15 @@
     }
 }
 
-TEST(TdsToken, ANoticeThatIsTooLongIsCutAtAWholeCharacter) {
+TEST(TdsToken, TruncatesLongErrorTextAfterAWholeCharacter) {
     std::string out, text;
-    for (int i = 0; i < 5000; ++i) text += "\xf0\x9f\x8d\x92";
+    for (int count = 0; count < 5000; ++count) text += "\xf0\x9f\x8d\x92";
     TokenBuilder(out).error({1, 1, 16, "x" + text, "", "", 1});
-    Heard heard;
-    TokenReader reader(heard);
+    EventLog events;
+    TokenReader reader(events);
     reader.read(out);
-    ASSERT_EQ(heard.log.size(), 1u);
-    EXPECT_EQ(heard.log[0].size(), std::string("error 1 x").size() + 1999 * 4);
+    ASSERT_EQ(events.lines.size(), 1u);
+    EXPECT_EQ(events.lines[0].size(), std::string("error 1 x").size() + 1999 * 4);
 }
 
 }  // namespace
--- a/tests/wire/http_test.cpp
+++ b/tests/wire/http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parsers: whole, split, oversized and random input.
+// HTTP parsers: whole, split, oversized and random input.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,68 +14,71 @@
 
 const std::string kSizedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-TEST(HttpResponse, ParsesInPiecesOfAnySize) {
+TEST(HttpResponse, ParsesInputSplitAtAnySize) {
     const std::string chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n";
     const std::string interim = "HTTP/1.1 100 Continue\r\n\r\n" + kSizedResponse;
     for (const auto& text : {kSizedResponse, chunked, interim})
         for (std::size_t step = 1; step <= text.size(); ++step) {
-            http::ResponseParser p;
-            for (std::size_t at = 0; at < text.size();) at += p.feed(std::string_view(text).substr(at, step));
-            ASSERT_TRUE(p.done() && p.status() == 200 && p.body() == "hello" && p.keeps_open());
+            http::ResponseParser parser;
+            for (std::size_t at = 0; at < text.size();)
+                at += parser.feed(std::string_view(text).substr(at, step));
+            ASSERT_TRUE(parser.done() && parser.status() == 200 && parser.body() == "hello" &&
+                        parser.keeps_open());
         }
 }
 
-TEST(HttpResponse, LeavesWhatFollowsTheResponse) {
-    http::ResponseParser more;
-    ASSERT_TRUE(more.feed(kSizedResponse + "HTTP/1.1") == kSizedResponse.size());
+TEST(HttpResponse, LeavesBytesAfterTheResponse) {
+    http::ResponseParser parser;
+    ASSERT_TRUE(parser.feed(kSizedResponse + "HTTP/1.1") == kSizedResponse.size());
 }
 
 TEST(HttpResponse, BodyWithoutLengthEndsWithTheConnection) {
-    http::ResponseParser closed;
-    closed.feed("HTTP/1.0 503 No\r\n\r\nbody");
-    ASSERT_TRUE(!closed.done());
-    closed.end_of_input();
-    ASSERT_TRUE(closed.done() && closed.status() == 503 && !closed.keeps_open() && closed.body() == "body");
+    http::ResponseParser parser;
+    parser.feed("HTTP/1.0 503 No\r\n\r\nbody");
+    ASSERT_TRUE(!parser.done());
+    parser.end_of_input();
+    ASSERT_TRUE(parser.done() && parser.status() == 503 && !parser.keeps_open() && parser.body() == "body");
 }
 
 TEST(HttpResponse, RejectsMalformedResponses) {
-    for (const std::string& bad :
+    for (const std::string& response :
          {std::string("SSH-2.0-x\r\n"), std::string("HTTP/1.1 200 OK\r\nContent-Length: x\r\n"),
           "HTTP/1.1 200 OK\r\nX: " + std::string(20'000, 'x'), std::string("HTTP/1.1 200 OK\r\nno colon\r\n"),
           std::string("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"),
           std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n")}) {
-        http::ResponseParser p;
-        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::ResponseError);
+        http::ResponseParser parser;
+        ASSERT_THROW(static_cast<void>(parser.feed(response)), http::ResponseError);
     }
 }
 
-TEST(HttpResponse, SurvivesRandomChunks) {
+TEST(HttpResponse, ThrowsOnlyResponseErrorForRandomChunks) {
     std::mt19937 random(2);
-    for (int i = 0; i < 2000; ++i) {
-        http::ResponseParser p;
+    for (int round = 0; round < 2000; ++round) {
+        http::ResponseParser parser;
         try {
-            p.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + random_bytes(random, 100));
+            parser.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + random_bytes(random, 100));
         } catch (const http::ResponseError&) {
         }
     }
 }
 
 TEST(HttpRequest, ParsesWhenSplitAnywhere) {
-    const std::string call =
+    const std::string request =
         "POST /api/exclude?a=%31&id=s%2d1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
-    for (std::size_t cut = 0; cut < call.size(); ++cut) {
-        http::RequestParser p;
-        p.feed(call.substr(0, cut));
-        ASSERT_TRUE(!p.done());
-        p.feed(call.substr(cut));
-        ASSERT_TRUE(p.done() && p.method() == "POST" && p.path() == "/api/exclude");
-        ASSERT_TRUE(p.parameter("id") == "s-1" && p.parameter("a") == "1" && !p.parameter("b"));
+    for (std::size_t cut = 0; cut < request.size(); ++cut) {
+        http::RequestParser parser;
+        parser.feed(request.substr(0, cut));
+        ASSERT_TRUE(!parser.done());
+        parser.feed(request.substr(cut));
+        ASSERT_TRUE(parser.done() && parser.method() == "POST" && parser.path() == "/api/exclude");
+        ASSERT_TRUE(parser.parameter("id") == "s-1" && parser.parameter("a") == "1" &&
+                    !parser.parameter("b"));
     }
 }
 
 TEST(HttpRequest, RejectsMalformedRequests) {
-    for (const auto& bad :
+    for (const auto& request :
          {std::string("GET / HTTP/2\r\n\r\n"), std::string("GET /\r\n\r\n"), std::string("\r\n\r\n"),
           std::string("get / HTTP/1.1\r\n\r\n"), std::string("GET x HTTP/1.1\r\n\r\n"),
           std::string("GET\x01"), std::string("GET / HTTP/1.1\r\nno colon\r\n\r\n"), std::string(9000, 'A'),
@@ -83,24 +86,24 @@
           std::string("GET / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
           std::string("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
           std::string("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")}) {
-        http::RequestParser p;
-        ASSERT_THROW(static_cast<void>(p.feed(bad)), http::RequestError);
+        http::RequestParser parser;
+        ASSERT_THROW(static_cast<void>(parser.feed(request)), http::RequestError);
     }
 }
 
-TEST(HttpRequest, RejectsAnIncompletePercentEscape) {
-    http::RequestParser odd;
-    odd.feed("GET /?id=%4 HTTP/1.0\n\n");
-    ASSERT_THROW(static_cast<void>(odd.parameter("id")), http::RequestError);
+TEST(HttpRequest, RejectsIncompletePercentEscape) {
+    http::RequestParser parser;
+    parser.feed("GET /?id=%4 HTTP/1.0\n\n");
+    ASSERT_THROW(static_cast<void>(parser.parameter("id")), http::RequestError);
 }
 
-TEST(HttpRequest, SurvivesRandomInput) {
+TEST(HttpRequest, ThrowsOnlyRequestErrorForRandomInput) {
     std::mt19937 random(3);
-    for (int i = 0; i < 2000; ++i) {
-        http::RequestParser p;
+    for (int round = 0; round < 2000; ++round) {
+        http::RequestParser parser;
         try {
-            p.feed("GET / HTTP/1.1\r\n" + random_bytes(random, 50));
-            p.feed(random_bytes(random, 50));
+            parser.feed("GET / HTTP/1.1\r\n" + random_bytes(random, 50));
+            parser.feed(random_bytes(random, 50));
         } catch (const http::RequestError&) {
         }
     }
--- a/tests/wire/pgwire_test.cpp
+++ b/tests/wire/pgwire_test.cpp
@@ -1,4 +1,4 @@
-// The PostgreSQL wire format: framing of messages and the tags in a statement.
+// PostgreSQL protocol: framing of messages, and the comment that describes a request in each statement.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -19,15 +19,15 @@
 TEST(PgwireFrame, NextMessageWaitsForTheWholeMessage) {
     std::string bytes;
     pgwire::Builder(bytes).query("SELECT 1").ready_for_query();
-    for (std::size_t i = 0; i < 14; ++i) ASSERT_TRUE(!pgwire::next_message(bytes.substr(0, i)));
-    const auto m = pgwire::next_message(bytes);
-    ASSERT_TRUE(m && m->type == 'Q' && m->size == 14);
-    ASSERT_TRUE(pgwire::next_message(std::string_view(bytes).substr(m->size))->type == 'Z');
+    for (std::size_t size = 0; size < 14; ++size) ASSERT_TRUE(!pgwire::next_message(bytes.substr(0, size)));
+    const auto message = pgwire::next_message(bytes);
+    ASSERT_TRUE(message && message->type == 'Q' && message->size == 14);
+    ASSERT_TRUE(pgwire::next_message(std::string_view(bytes).substr(message->size))->type == 'Z');
 }
 
-TEST(PgwireFrame, RejectsImpossibleLengths) {
+TEST(PgwireFrame, RejectsLengthsOutOfRange) {
     ASSERT_THROW(static_cast<void>(pgwire::next_message(std::string("Q\0\0\0\3", 5))), pgwire::ProtocolError);
-    // Refused by its length alone: guards against waiting for, and keeping, what is too large.
+    // Rejected by its length before the body arrives: guards against buffering a message that is too large.
     ASSERT_THROW(static_cast<void>(pgwire::next_message("Q\x7f\xff\xff\xff")), pgwire::ProtocolError);
     ASSERT_THROW(static_cast<void>(pgwire::next_startup(std::string("\0\1\0\0", 4))), pgwire::ProtocolError);
     ASSERT_THROW(static_cast<void>(pgwire::read_startup(std::string("\0\2\0\0", 4))), pgwire::ProtocolError);
@@ -37,18 +37,20 @@
     ASSERT_TRUE(pgwire::read_startup(std::string("\0\3\0\2", 4)).minor == 2);
 }
 
-TEST(PgwireStatement, ReadsTagsAndReplacesTheTimeLeft) {
-    const auto t = pgwire::read_tags(kStatement);
-    ASSERT_TRUE(t.id == "9b" && t.request_class == "view" && t.time_left_ms == 480 && t.cluster == 2 &&
-                t.is_retry);
-    ASSERT_TRUE(t.first_literal == "7f/*" && t.key == "5c" && t.after_ms == 1767225600123);
-    const traffic::Statement s{kStatement, t.time_left_offset, t.time_left_size};
-    ASSERT_TRUE(s.with_time_left(12'345) == std::string(kStatement).replace(kStatement.find("480"), 3, "12"));
-    ASSERT_TRUE(s.with_time_left(-1) == std::string(kStatement).replace(kStatement.find("480"), 3, "1"));
+TEST(PgwireStatement, ReadsCommentAndReplacesTimeLeft) {
+    const auto tags = pgwire::read_tags(kStatement);
+    ASSERT_TRUE(tags.id == "9b" && tags.request_class == "view" && tags.time_left_ms == 480 &&
+                tags.cluster == 2 && tags.is_retry);
+    ASSERT_TRUE(tags.first_literal == "7f/*" && tags.key == "5c" && tags.after_ms == 1767225600123);
+    const traffic::Statement statement{kStatement, tags.time_left_offset, tags.time_left_size};
+    ASSERT_TRUE(statement.with_time_left(12'345) ==
+                std::string(kStatement).replace(kStatement.find("480"), 3, "12"));
+    ASSERT_TRUE(statement.with_time_left(-1) ==
+                std::string(kStatement).replace(kStatement.find("480"), 3, "1"));
 }
 
-TEST(PgwireStatement, RejectsMalformedTags) {
-    for (const char* bad :
+TEST(PgwireStatement, RejectsMissingOrMalformedComment) {
+    for (const char* statement :
          {"SELECT 1", "/* id=1,c=v,d=1,cluster=0 */", "SELECT '1' /* c=v,d=1,cluster=0 */",
           "SELECT '1' /* id=1,d=1,cluster=0 */", "SELECT '1' /* id=1,c=v,cluster=0 */",
           "SELECT '1' /* id=1,c=v,d=1 */", "SELECT '1' /* id=1,c=v,d=-1,cluster=0 */",
@@ -56,16 +58,16 @@
           "SELECT '1' /* id=1,c=v,d=1,cluster=x */", "SELECT '1' /* id=1,,c=v,d=1,cluster=0 */",
           "SELECT '1' /*/", "SELECT '1 /* id=1,c=v,d=1,cluster=0 */",
           "SELECT '1' /* id=1,c=v,d=1,cluster=70000 */"})
-        ASSERT_THROW(static_cast<void>(pgwire::read_tags(bad)), pgwire::ProtocolError);
+        ASSERT_THROW(static_cast<void>(pgwire::read_tags(statement)), pgwire::ProtocolError);
 }
 
-TEST(PgwireStatement, RecognizesBlankText) {
+TEST(PgwireStatement, RecognizesBlankStatement) {
     ASSERT_TRUE(pgwire::is_blank(" ;\n") && !pgwire::is_blank("x"));
 }
 
-TEST(PgwireStatement, SurvivesRandomChanges) {
+TEST(PgwireStatement, ThrowsOnlyProtocolErrorForRandomChanges) {
     std::mt19937 random(1);
-    for (int i = 0; i < 2000; ++i) {
+    for (int round = 0; round < 2000; ++round) {
         auto text = kStatement;
         text[random() % text.size()] = static_cast<char>(random());
         try {
