--- a/src/wire/pgwire/frame.cpp
+++ b/src/wire/pgwire/frame.cpp
@@ -12,8 +12,7 @@
     if (length < 4)
         throw ProtocolError("a message length below 4 bytes, the size of the length field itself");
     if (length > max_length)
-        throw ProtocolError("a message length of " + std::to_string(length) +
-                            " bytes, above the limit for its type");
+        throw ProtocolError("a message length of " + std::to_string(length) + " bytes, above the limit");
     return type_size + length;
 }
 
@@ -52,7 +51,8 @@
         return {StartupKind::cancel, 0, process, in.int32()};
     }
     if (code >> 16 != 3)
-        throw ProtocolError("unsupported major protocol version, not 3: " + std::to_string(code >> 16));
+        throw ProtocolError("only protocol version 3 is supported, not version " +
+                            std::to_string(code >> 16));
     return {StartupKind::session, static_cast<int>(code & 0xffff)};
 }
 
--- a/src/wire/tds/token.cpp
+++ b/src/wire/tds/token.cpp
@@ -5,10 +5,10 @@
 namespace sloestack::tds {
 namespace {
 
-namespace id {
-constexpr std::uint8_t return_status = 0x79, columns = 0x81, order = 0xa9, error = 0xaa, info = 0xab,
-                       login_ack = 0xad, features = 0xae, row = 0xd1, row_with_nulls = 0xd2,
-                       env_change = 0xe3, done = 0xfd, done_procedure = 0xfe, done_inside_procedure = 0xff;
+namespace token_type {
+constexpr std::uint8_t kReturnStatus = 0x79, kColMetadata = 0x81, kOrder = 0xa9, kError = 0xaa, kInfo = 0xab,
+                       kLoginAck = 0xad, kFeatureExtAck = 0xae, kRow = 0xd1, kNbcRow = 0xd2,
+                       kEnvChange = 0xe3, kDone = 0xfd, kDoneProc = 0xfe, kDoneInProc = 0xff;
 }
 constexpr std::uint16_t kNoMetadata = 0xffff;
 constexpr std::size_t kMaxMessageUnits = 4000;  // UTF-16 code units, since the token's length has 16 bits
@@ -121,37 +121,38 @@
     const auto type = in.u8();
     const auto body = [&] { return FieldReader(in.bytes(in.u16())); };
     switch (type) {
-        case id::columns:
+        case token_type::kColMetadata:
             read_columns(in);
             break;
-        case id::row:
-        case id::row_with_nulls:
+        case token_type::kRow:
+        case token_type::kNbcRow:
             if (!has_columns_) throw ProtocolError("a row before any column metadata");
-            null_bitmap_ = type == id::row ? std::string() : std::string(in.bytes((columns_.size() + 7) / 8));
+            null_bitmap_ =
+                type == token_type::kRow ? std::string() : std::string(in.bytes((columns_.size() + 7) / 8));
             events_.row();
             column_ = static_cast<std::size_t>(-1);
             state_ = State::values;
             next_column();
             break;
-        case id::error:
+        case token_type::kError:
             events_.error(read_error_or_info(body()));
             break;
-        case id::info:
+        case token_type::kInfo:
             events_.info(read_error_or_info(body()));
             break;
-        case id::env_change:
+        case token_type::kEnvChange:
             events_.env_change(read_env_change(body()));
             break;
-        case id::login_ack:
+        case token_type::kLoginAck:
             events_.login_ack(read_login_ack(body()));
             break;
-        case id::order:
+        case token_type::kOrder:
             body();
             break;
-        case id::return_status:
+        case token_type::kReturnStatus:
             events_.return_status(static_cast<std::int32_t>(in.u32()));
             break;
-        case id::features:
+        case token_type::kFeatureExtAck:
             for (auto feature = in.u8(); feature != 0xff; feature = in.u8()) {
                 const auto size = in.u32();
                 if (size > kMaxBufferedTokenBytes)
@@ -160,9 +161,9 @@
                 in.bytes(size);
             }
             break;
-        case id::done:
-        case id::done_procedure:
-        case id::done_inside_procedure: {
+        case token_type::kDone:
+        case token_type::kDoneProc:
+        case token_type::kDoneInProc: {
             Done out;
             out.kind = static_cast<Done::Kind>(type);
             out.status = in.u16();
@@ -239,7 +240,7 @@
 }
 
 TokenBuilder& TokenBuilder::columns(const std::vector<Column>& columns) {
-    FieldWriter(out_).u8(id::columns).u16(columns.size());
+    FieldWriter(out_).u8(token_type::kColMetadata).u16(columns.size());
     for (const auto& column : columns) {
         FieldWriter(out_).u32(column.user_type).u16(column.flags);
         put_type(out_, column.type);
@@ -249,7 +250,7 @@
 }
 
 TokenBuilder& TokenBuilder::row() {
-    FieldWriter(out_).u8(id::row);
+    FieldWriter(out_).u8(token_type::kRow);
     return *this;
 }
 
@@ -257,7 +258,7 @@
     std::string bits((nulls.size() + 7) / 8, '\0');
     for (std::size_t column = 0; column < nulls.size(); ++column)
         if (nulls[column]) bits[column / 8] = static_cast<char>(bits[column / 8] | 1 << (column % 8));
-    FieldWriter(out_).u8(id::row_with_nulls).bytes(bits);
+    FieldWriter(out_).u8(token_type::kNbcRow).bytes(bits);
     return *this;
 }
 
@@ -283,7 +284,7 @@
             .bytes(change.new_value)
             .u8(change.old_value.size())
             .bytes(change.old_value);
-    return sized_token(id::env_change, body);
+    return sized_token(token_type::kEnvChange, body);
 }
 
 TokenBuilder& TokenBuilder::login_ack(const LoginAck& login_ack) {
@@ -293,11 +294,11 @@
     for (int i = 3; i >= 0; --i) fields.u8(login_ack.version >> (8 * i) & 0xff);
     fields.b_varchar(login_ack.program);
     for (int i = 3; i >= 0; --i) fields.u8(login_ack.program_version >> (8 * i) & 0xff);
-    return sized_token(id::login_ack, body);
+    return sized_token(token_type::kLoginAck, body);
 }
 
 TokenBuilder& TokenBuilder::return_status(std::int32_t value) {
-    FieldWriter(out_).u8(id::return_status).u32(static_cast<std::uint32_t>(value));
+    FieldWriter(out_).u8(token_type::kReturnStatus).u32(static_cast<std::uint32_t>(value));
     return *this;
 }
 
