--- a/src/wire/http/response.cpp
+++ b/src/wire/http/response.cpp
@@ -32,22 +32,22 @@
 }  // namespace
 
 std::size_t ResponseParser::feed(std::string_view bytes) {
-    std::size_t taken = 0;
-    while (taken < bytes.size() && !done()) {
-        const auto rest = bytes.substr(taken);
+    std::size_t used = 0;
+    while (used < bytes.size() && !done()) {
+        const auto rest = bytes.substr(used);
         switch (state_) {
             case State::sized:
             case State::chunk: {
                 const auto part = rest.substr(0, left_);
                 append(part);
-                taken += part.size();
+                used += part.size();
                 left_ -= part.size();
                 if (left_ == 0) state_ = state_ == State::sized ? State::done : State::chunk_end;
                 break;
             }
             case State::until_close:
                 append(rest);
-                taken += rest.size();
+                used += rest.size();
                 break;
             default: {  // a line
                 const auto end = rest.find('\n');
@@ -56,9 +56,9 @@
                 if (head_size_ > kMaxHeadBytes)
                     throw ResponseError("the head, or the trailer section, is larger than 16 KiB");
                 line_.append(part);
-                taken += part.size();
+                used += part.size();
                 if (end == std::string_view::npos) break;
-                ++taken;
+                ++used;
                 if (!line_.empty() && line_.back() == '\r') line_.pop_back();
                 const auto text = std::move(line_);
                 line_.clear();
@@ -66,7 +66,7 @@
             }
         }
     }
-    return taken;
+    return used;
 }
 
 void ResponseParser::end_of_input() {
--- a/src/wire/pgwire/build.h
+++ b/src/wire/pgwire/build.h
@@ -14,7 +14,7 @@
 constexpr std::string_view kTooManyConnections = "53300";  // a rejection; the client may retry safely
 constexpr std::string_view kCannotConnectNow = "57P03";    // a rejection; the client may retry safely
 constexpr std::string_view kReadOnly = "25006";      // a write reached an endpoint that is not the primary
-constexpr std::string_view kTooFarBehind = "72000";  // the replica lags too far for the statement
+constexpr std::string_view kTooFarBehind = "72000";  // the replica is behind the required position
 constexpr std::string_view kProtocolViolation = "08P01";
 constexpr std::string_view kNotSupported = "0A000";
 constexpr std::string_view kInvalidParameter = "22023";
--- a/src/wire/pgwire/statement.cpp
+++ b/src/wire/pgwire/statement.cpp
@@ -35,13 +35,13 @@
 bool is_blank(std::string_view statement) { return trim(statement, " \t\r\n;").empty(); }
 
 Tags read_tags(std::string_view statement) {
-    const auto whole = trim(statement, kWhiteSpace);
-    const auto open = whole.rfind("/*");
-    if (open == std::string_view::npos || open == 0 || whole.size() < open + 4 ||
-        whole.substr(whole.size() - 2) != "*/")
+    const auto text = trim(statement, kWhiteSpace);
+    const auto comment_at = text.rfind("/*");
+    if (comment_at == std::string_view::npos || comment_at == 0 || text.size() < comment_at + 4 ||
+        text.substr(text.size() - 2) != "*/")
         throw ProtocolError("the statement does not end with a comment that describes the request");
-    const auto sql = whole.substr(0, open);
-    auto rest = whole.substr(open + 2, whole.size() - open - 4);
+    const auto sql = text.substr(0, comment_at);
+    auto rest = text.substr(comment_at + 2, text.size() - comment_at - 4);
     Tags out;
     out.first_literal = first_literal_of(sql);
     if (out.first_literal.empty())
--- a/src/wire/tds/login.cpp
+++ b/src/wire/tds/login.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint8_t kVersionOption = 0, kEncryptionOption = 1, kInstanceOption = 2, kMarsOption = 4,
                        kTerminator = 0xff;
-constexpr std::size_t kOptionBytes = 5;  // token, offset and length; only in PRELOGIN these are big-endian
+constexpr std::size_t kOptionBytes = 5;  // token, and big-endian offset and length
 // LOGIN7's fixed part: 36 bytes, nine pairs of offset and length, the client's ID, three more pairs, and a
 // length of 32 bits.
 constexpr std::size_t kFixedBytes = 94;
@@ -187,7 +187,8 @@
     out.changes_password = change_count > 0 || (flags3 & kChangePasswordFlag);
     fields.read(change_at, change_count * 2);
     if ((flags3 & kExtensionFlag) && extension_size > 0) {
-        if (extension_size < 4) throw ProtocolError("a LOGIN7 extension shorter than its 4 bytes");
+        if (extension_size < 4)
+            throw ProtocolError("a LOGIN7 extension field shorter than the 4 bytes of its offset");
         const auto at = FieldReader(fields.read(extension_at, extension_size)).u32();
         if (at < kFixedBytes || at >= payload.size())
             throw ProtocolError("a LOGIN7 field that lies outside the message");
