--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -28,7 +28,7 @@
     Corpus out;
     const auto path = std::filesystem::temp_directory_path() /
                       ("sloestack-corpus-" + std::to_string(std::random_device()()));
-    for (int damage = -1; damage <= static_cast<int>(emulator::Damage::vlans); ++damage) {
+    for (int damage = -1; damage <= static_cast<int>(emulator::Damage::vlans); ++damage) {  // -1: undamaged
         emulator::MakeSettings settings;
         settings.length_us = 400'000;
         settings.rate = 60;
