--- a/src/net/transport/byte_account.h
+++ b/src/net/transport/byte_account.h
@@ -1,5 +1,5 @@
-// Counts the bytes that connections hold for their peers: received and not consumed, written and not taken.
-// Each connection has a limit of its own; the account tells when all of them together hold too much.
+// Counts the bytes buffered for a set of connections: received and not consumed, and waiting to be written.
+// Each connection has its own limit; the account reports when their total exceeds a common limit.
 #pragma once
 
 #include <cstddef>
--- a/src/net/transport/connection.cpp
+++ b/src/net/transport/connection.cpp
@@ -15,12 +15,12 @@
 namespace sloestack::net {
 namespace {
 
-constexpr std::size_t kReadAtOnce = 64 * 1024;
-constexpr int kBacklog = 1024;
+constexpr std::size_t kMaxReadBytes = 64 * 1024;
+constexpr int kListenBacklog = 1024;
 
-void no_delay(evutil_socket_t fd) {
-    const int on = 1;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+void set_tcp_no_delay(evutil_socket_t fd) {
+    const int enabled = 1;
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 }  // namespace
@@ -46,20 +46,20 @@
         for (auto* buffer : {bufferevent_get_input(bev), bufferevent_get_output(bev)})
             evbuffer_add_cb(
                 buffer,
-                [](evbuffer*, const evbuffer_cb_info* change, void* book) {
-                    static_cast<ByteAccount*>(book)->add(change->n_added);
-                    static_cast<ByteAccount*>(book)->remove(change->n_deleted);
+                [](evbuffer*, const evbuffer_cb_info* change, void* arg) {
+                    static_cast<ByteAccount*>(arg)->add(change->n_added);
+                    static_cast<ByteAccount*>(arg)->remove(change->n_deleted);
                 },
                 account_);
     bufferevent_setwatermark(bev, EV_READ, 0, max_unread_bytes);
-    bufferevent_set_max_single_read(bev, kReadAtOnce);
+    bufferevent_set_max_single_read(bev, kMaxReadBytes);
     bufferevent_setcb(
         bev, [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); },
         [](bufferevent*, void* self) { static_cast<Connection*>(self)->events_.drained(); },
-        [](bufferevent*, short what, void* arg) {
-            auto& events_of = static_cast<Connection*>(arg)->events_;
-            if (what & BEV_EVENT_CONNECTED) return events_of.connected();
-            events_of.ended(what & BEV_EVENT_EOF ? ConnectionEnd::end_of_input : ConnectionEnd::error);
+        [](bufferevent*, short flags, void* self) {
+            auto& self_events = static_cast<Connection*>(self)->events_;
+            if (flags & BEV_EVENT_CONNECTED) return self_events.connected();
+            self_events.ended(flags & BEV_EVENT_EOF ? ConnectionEnd::end_of_input : ConnectionEnd::error);
         },
         this);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
@@ -79,14 +79,14 @@
     update_reading();
 }
 
-// At the high watermark libevent calls back again and again within one iteration until input is consumed, so
-// that no deadline would run. Reading is therefore disabled while the limit is reached, not only by the
-// watermark.
+// While input is at the high watermark, libevent calls the read callback again and again within one iteration
+// until some is consumed, so that no deadline would run. Reading is therefore also disabled explicitly while
+// the limit is reached.
 void Connection::update_reading() {
-    const bool reads = !is_reading_paused_ && unread_bytes() < max_unread_bytes_;
-    if (reads == is_reading_) return;
-    is_reading_ = reads;
-    if (reads)
+    const bool should_read = !is_reading_paused_ && unread_bytes() < max_unread_bytes_;
+    if (should_read == is_reading_) return;
+    is_reading_ = should_read;
+    if (should_read)
         bufferevent_enable(bev_.get(), EV_READ);
     else
         bufferevent_disable(bev_.get(), EV_READ);
@@ -95,7 +95,7 @@
 std::unique_ptr<Connection> Connection::from_socket(Loop& loop, evutil_socket_t fd,
                                                     std::size_t max_unread_bytes, ConnectionEvents& events,
                                                     ByteAccount* account) {
-    no_delay(fd);
+    set_tcp_no_delay(fd);
     auto* bev = bufferevent_socket_new(loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
     if (!bev) {
         evutil_closesocket(fd);
@@ -109,7 +109,7 @@
     const auto fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return nullptr;
     auto out = from_socket(loop, fd, max_unread_bytes, events);
-    // A refused connection is reported by ended(), later; only a failure to start connecting returns null.
+    // A connection that the peer refuses is reported later by ended().
     if (out &&
         bufferevent_socket_connect(out->bev_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
         return nullptr;
@@ -119,8 +119,8 @@
 std::string_view Connection::peek(std::size_t max_bytes) {
     const auto size = std::min(unread_bytes(), max_bytes);
     if (size == 0) return {};
-    // Makes the bytes contiguous by copying; only those asked for, so that a large message that is still
-    // arriving is not copied each time.
+    // evbuffer_pullup() makes the bytes contiguous by copying them; only the requested ones are copied, so
+    // that a large message is not copied again each time a part of it arrives.
     return {reinterpret_cast<const char*>(
                 evbuffer_pullup(bufferevent_get_input(bev_.get()), static_cast<ev_ssize_t>(size))),
             size};
@@ -140,12 +140,12 @@
     written_bytes_ += bytes.size();
     bufferevent_write(bev_.get(), bytes.data(), bytes.size());
 }
-void Connection::write(std::string_view bytes, std::shared_ptr<const void> keeper) {
+void Connection::write(std::string_view bytes, std::shared_ptr<const void> owner) {
     written_bytes_ += bytes.size();
     evbuffer_add_reference(
         bufferevent_get_output(bev_.get()), bytes.data(), bytes.size(),
-        [](const void*, std::size_t, void* kept) { delete static_cast<std::shared_ptr<const void>*>(kept); },
-        new std::shared_ptr<const void>(std::move(keeper)));
+        [](const void*, std::size_t, void* arg) { delete static_cast<std::shared_ptr<const void>*>(arg); },
+        new std::shared_ptr<const void>(std::move(owner)));
 }
 void Connection::move_to(std::string& to, std::size_t bytes) {
     const auto start = to.size();
@@ -181,13 +181,13 @@
 
 bool Connection::has_nothing_to_read() const {
     char byte = 0;
-    const auto got = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    const auto received = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 bool Connection::peer_has_closed() const {
-    pollfd look{bufferevent_getfd(bev_.get()), POLLRDHUP, 0};
-    return poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    pollfd request{bufferevent_getfd(bev_.get()), POLLRDHUP, 0};
+    return poll(&request, 1, 0) > 0 && (request.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 Listener::Listener(Loop& loop, const sockaddr_in& at, std::function<void(evutil_socket_t)> accepted,
@@ -198,7 +198,7 @@
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
             static_cast<Listener*>(self)->accepted_(fd);
         },
-        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, kBacklog,
+        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, kListenBacklog,
         reinterpret_cast<const sockaddr*>(&at), sizeof at));
     if (!listener_) throw std::runtime_error(std::string("cannot listen: ") + std::strerror(errno));
     watch_errors();
@@ -207,11 +207,11 @@
 Listener::Listener(Loop& loop, evutil_socket_t listening, std::function<void(evutil_socket_t)> accepted,
                    std::function<void()> failed)
     : accepted_(std::move(accepted)), failed_(std::move(failed)) {
-    int listens = 0;
-    socklen_t size = sizeof listens;
-    if (getsockopt(listening, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || !listens)
+    int is_listening = 0;
+    socklen_t size = sizeof is_listening;
+    if (getsockopt(listening, SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) != 0 || !is_listening)
         throw std::runtime_error("cannot listen: descriptor " + std::to_string(listening) +
-                                 " is no listening socket");
+                                 " is not a listening socket");
     evutil_make_socket_nonblocking(listening);
     evutil_make_socket_closeonexec(listening);
     listener_.reset(evconnlistener_new(
@@ -220,7 +220,8 @@
             static_cast<Listener*>(self)->accepted_(fd);
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, listening));
-    if (!listener_) throw std::runtime_error("cannot listen: the event loop does not take the socket");
+    if (!listener_)
+        throw std::runtime_error("cannot listen: libevent could not register the listening socket");
     watch_errors();
 }
 
--- a/src/net/transport/connection.h
+++ b/src/net/transport/connection.h
@@ -1,4 +1,4 @@
-// One TCP connection as an object with callbacks, and the listener that takes them in.
+// A TCP connection with callbacks, and a listener that accepts such connections. Both run on a Loop.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -17,60 +17,74 @@
 
 namespace sloestack::net {
 
-// "10.0.0.4:5433"; nothing where it is no address with a port.
+// Parses an IPv4 address with a port, such as "10.0.0.4:5433"; std::nullopt if `text` is not one.
 std::optional<sockaddr_in> parse_address(const std::string& text);
 
 enum class ConnectionEnd { end_of_input, error };
 
+// Callbacks of a connection; each runs on the event loop.
 class ConnectionEvents {
 public:
     virtual void connected() {}
+    // More bytes have been received.
     virtual void received() = 0;
-    virtual void drained() {}  // all that was written is with the kernel
-    // After `error` nothing more comes or goes; after `end_of_input` the peer may still be reading.
+    // The kernel has taken all written bytes.
+    virtual void drained() {}
+    // `end_of_input`: the peer has sent a FIN and may still be reading. `error`: the connection can neither
+    // be read nor written any more.
     virtual void ended(ConnectionEnd how) = 0;
 
 protected:
     ~ConnectionEvents() = default;
 };
 
-// The owner may destroy it at any time, also from its own callbacks; that closes the socket.
+// The owner may destroy it at any time, including from its own callbacks; destruction closes the socket.
 class Connection {
 public:
+    // Takes ownership of the connected socket `fd`. Reading pauses while `max_unread_bytes` received bytes
+    // are not consumed. `events` and `account` (optional) outlive the connection. Returns null, with the
+    // socket closed, if libevent cannot allocate its buffers.
     static std::unique_ptr<Connection> from_socket(Loop& loop, evutil_socket_t fd,
                                                    std::size_t max_unread_bytes, ConnectionEvents& events,
                                                    ByteAccount* account = nullptr);
-    // Nothing where no socket was to be had.
+    // Begins to connect to `to`. Returns null if no socket could be opened or connect() failed at once; a
+    // connection that the peer refuses is reported by ended().
     static std::unique_ptr<Connection> open(Loop& loop, const sockaddr_in& to, std::size_t max_unread_bytes,
                                             ConnectionEvents& events);
 
     ~Connection();
-    // The first bytes that have come, `max_bytes` of them or all there are.
-    std::string_view peek(std::size_t max_bytes =
-                              static_cast<std::size_t>(-1));  // good until the next call that takes or reads
+    // Returns the first `max_bytes` of the bytes received and not consumed, or all of them if there are
+    // fewer. Valid until the next call of peek(), consume() or move_to(), and no longer than until control
+    // returns to the event loop.
+    std::string_view peek(std::size_t max_bytes = static_cast<std::size_t>(-1));
     void consume(std::size_t bytes);
-    void set_max_unread_bytes(std::size_t max_bytes);  // reading rests while that much is held
+    // Changes the number of received bytes at which reading pauses until some of them are consumed.
+    void set_max_unread_bytes(std::size_t max_bytes);
     void write(std::string_view bytes);
-    // Without a copy: the bytes stay their keeper's until the kernel has them.
-    void write(std::string_view bytes, std::shared_ptr<const void> keeper);
-    // Moves the first bytes received to the end of `to`.
+    // Writes without copying: `owner` keeps `bytes` alive until the kernel has taken them.
+    void write(std::string_view bytes, std::shared_ptr<const void> owner);
+    // Appends the first `bytes` received bytes, or all if there are fewer, to `to` and consumes them.
     void move_to(std::string& to, std::size_t bytes);
-    void set_reading_paused(bool is_paused);  // stops or goes on reading
-    std::uint64_t sent_bytes() const {
-        return written_bytes_ - unwritten_bytes();
-    }  // bytes the kernel has taken
+    void set_reading_paused(bool is_paused);
+    // Bytes that the kernel has taken since the connection was opened.
+    std::uint64_t sent_bytes() const { return written_bytes_ - unwritten_bytes(); }
+    // Bytes written that the kernel has not taken yet.
     std::size_t unwritten_bytes() const;
-    std::size_t unread_bytes() const;                                 // bytes received and not consumed
-    std::uint64_t consumed_bytes() const { return consumed_bytes_; }  // bytes consumed or moved, in all
-    // No more will be written; the peer sees an end once it has read all. Input still comes.
+    // Bytes received and not consumed.
+    std::size_t unread_bytes() const;
+    // Bytes consumed or moved since the connection was opened.
+    std::uint64_t consumed_bytes() const { return consumed_bytes_; }
+    // Half-closes the connection: sends a FIN behind all data in the kernel. Input is still received.
     void shutdown_write();
-    sockaddr_in local_address() const;  // this end's address, all zero where there is none yet
-    // Whether the socket is free of errors; looks at the kernel's side, so also at what no callback told yet.
+    // The socket's own address; all zero if it has none yet.
+    sockaddr_in local_address() const;
+    // Returns false if the kernel has an error pending on the socket, such as a RST that no callback has
+    // reported yet. Reading the error clears it.
     bool is_error_free() const;
-    // Whether nothing waits in the kernel: no bytes unread, no end, no error.
+    // Returns true if a read from the socket would block: neither data nor a FIN nor an error is pending in
+    // the kernel.
     bool has_nothing_to_read() const;
-    // Whether the peer has ended its writing or all of the connection, be it behind bytes that are unread
-    // yet.
+    // Returns true if the peer has sent a FIN or a RST, even if unread bytes precede it in the socket buffer.
     bool peer_has_closed() const;
 
 private:
@@ -89,22 +103,26 @@
     std::uint64_t written_bytes_ = 0, consumed_bytes_ = 0;
     std::size_t max_unread_bytes_;
     bool is_reading_paused_ = false, is_reading_ = true;
-    bool* destroyed_ = nullptr;  // while a callback about input runs: whether that has destroyed this
+    // Set while events_.received() runs: the destructor sets the flag it points to.
+    bool* destroyed_ = nullptr;
 };
 
+// Accepts TCP connections. Its destruction closes the listening socket.
 class Listener {
 public:
-    // Throws std::runtime_error where the address cannot be listened on. `failed` is told when accepting does
-    // not work (no descriptors); the listener then pauses until resumed, so that it does not spin.
+    // Throws std::runtime_error if it cannot listen on the address. `accepted` takes ownership of each
+    // accepted socket. If accept() fails, as when the process is out of descriptors, the listener pauses
+    // until resume() so that it does not spin, and calls `failed`.
     Listener(Loop& loop, const sockaddr_in& at, std::function<void(evutil_socket_t)> accepted,
              std::function<void()> failed);
-    // The same on a socket that listens already. Other processes may accept from it too: it is never bound
-    // anew nor shut down here, only closed.
+    // The same for a socket that is already listening. Other processes may accept from the same socket, so it
+    // is never bound again or shut down here, only closed.
     Listener(Loop& loop, evutil_socket_t listening, std::function<void(evutil_socket_t)> accepted,
              std::function<void()> failed);
     void pause();
     void resume();
-    // Takes what the kernel has accepted already: what it still holds when the listener goes is reset.
+    // Accepts all connections in the kernel's accept queue; the kernel resets those that are left there when
+    // the listening socket is closed.
     void accept_pending();
     std::uint16_t port() const;
 
--- a/src/net/transport/descriptor_quota.h
+++ b/src/net/transport/descriptor_quota.h
@@ -1,4 +1,4 @@
-// Divides the process's descriptors between the kinds of connections, and counts those in use.
+// Divides the process's file descriptors between the kinds of connections and counts those in use.
 #pragma once
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 class DescriptorQuota;
 
-// The right to one descriptor of a quota, given back when it is destroyed. Empty where there was none.
+// One descriptor of a quota, released when the slot is destroyed. Empty if the quota had none left.
 class DescriptorSlot {
 public:
     DescriptorSlot() = default;
@@ -25,20 +25,20 @@
     DescriptorQuota* quota_ = nullptr;
 };
 
-// Outlives its slots.
+// Counts the descriptors of one kind of connection against a limit. Must outlive its slots.
 class DescriptorQuota {
 public:
     explicit DescriptorQuota(int limit) : limit_(limit) {}
     DescriptorQuota(const DescriptorQuota&) = delete;
     DescriptorQuota& operator=(const DescriptorQuota&) = delete;
 
-    // An empty slot where the limit is reached.
+    // Returns an empty slot if the limit is reached.
     DescriptorSlot acquire() {
         if (is_full()) return {};
         ++in_use_;
         return DescriptorSlot(this);
     }
-    // Slots in use beyond a lower limit stay valid until they are given back.
+    // Slots in use beyond a lowered limit stay valid until they are released.
     void set_limit(int limit) { limit_ = limit; }
     bool is_exceeded() const { return in_use_ > limit_; }
     bool is_full() const { return in_use_ >= limit_; }
@@ -56,17 +56,17 @@
 }
 
 struct DescriptorShares {
-    int clients;    // connections of clients that are served
-    int overflow;   // of clients that are whose requests are only rejected
-    int lingering;  // of clients, in a lingering close
+    int clients;    // connections of clients whose requests are served
+    int overflow;   // connections of clients whose requests are all rejected
+    int lingering;  // connections of clients that are in a lingering close
     int upstream;   // connections to endpoints
     constexpr int total() const { return clients + overflow + lingering + upstream; }
 };
 
-// Divides `descriptors`, the limit of the process. What the process itself holds (log, event loop, listener,
-// discovery), with as much again to spare, is left out.
+// Divides `descriptors`, the process's descriptor limit, into shares. Keeps back a reserve for the process's
+// own descriptors (log, event loop, listener, discovery) that is twice their number.
 constexpr DescriptorShares divide_descriptors(int descriptors) {
-    constexpr int kMaxReserved = 32;  // half of it is in use
+    constexpr int kMaxReserved = 32;  // the process itself uses half of them
     const int reserved = descriptors < 4 * kMaxReserved ? descriptors / 4 : kMaxReserved;
     const int overflow = reserved / 2;
     const int lingering = reserved / 2;
--- a/src/net/transport/loop.h
+++ b/src/net/transport/loop.h
@@ -1,4 +1,4 @@
-// The event loop: libevent underneath, one iteration at a time.
+// The event loop, based on libevent and run one iteration at a time.
 #pragma once
 
 #include <event2/event.h>
@@ -20,21 +20,23 @@
     Loop& operator=(const Loop&) = delete;
 
     event_base* base() const { return base_.get(); }
-    void on_signal(int signal, std::function<void()> what);
-    // Waits until something has come in or the time has passed, and handles all that has come in.
-    void run_once(std::optional<Micros> at_most);
+    // Calls `handler` on the event loop whenever the process receives `signal`.
+    void on_signal(int signal, std::function<void()> handler);
+    // Waits until an event occurs or `max_wait_us` has passed (without limit if it is std::nullopt), and runs
+    // the callbacks of all events that have occurred.
+    void run_once(std::optional<Micros> max_wait_us);
 
-    // Keeps an object that may still be on the call stack until the iteration is over.
+    // Destroys `object` in end_iteration(): one of its functions may still be on the call stack.
     template <class T>
     void delete_later(std::unique_ptr<T> object) {
-        deferred_.emplace_back(std::move(object));
+        objects_to_delete_.emplace_back(std::move(object));
     }
-    void end_iteration() { deferred_.clear(); }
+    void end_iteration() { objects_to_delete_.clear(); }
 
 private:
     struct Signal {
-        std::function<void()> what;
-        event* handle = nullptr;
+        std::function<void()> handler;
+        event* signal_event = nullptr;
     };
     struct FreeBase {
         void operator()(event_base* b) const { event_base_free(b); }
@@ -42,7 +44,7 @@
     std::unique_ptr<event_base, FreeBase> base_;
     event* timer_ = nullptr;
     std::vector<std::unique_ptr<Signal>> signals_;
-    std::vector<std::shared_ptr<void>> deferred_;
+    std::vector<std::shared_ptr<void>> objects_to_delete_;
 };
 
 }  // namespace sloestack::net
--- a/tests/net/transport_test.cpp
+++ b/tests/net/transport_test.cpp
@@ -1,4 +1,4 @@
-// Budgets of the transport: memory, connections and bytes in flight.
+// Tests of the memory budget, the descriptor quota and the byte account.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -11,9 +11,9 @@
 
 using namespace sloestack;
 
-// One total, first come first served: guards the memory, and keeps a large statement from waiting for ever
-// behind smaller ones that fit in between.
-TEST(MemoryBudget, IsGrantedInOrderOfArrival) {
+// Guards against reservations beyond the limit, and against a large reservation that waits forever because
+// smaller ones that fit are granted before it.
+TEST(MemoryBudget, GrantsReservationsInOrderOfFirstRequest) {
     net::MemoryBudget budget(100);
     int a = 0, b = 0, c = 0;
     auto first = budget.reserve(80, &a);
@@ -25,8 +25,8 @@
     ASSERT_TRUE(second && budget.reserve(10, &c));
     ASSERT_TRUE(!budget.reserve(200, &a));
     second.reset();
-    ASSERT_TRUE(budget.reserve(200, &a));  // alone, even what exceeds the total
-    // Who leaves the queue lets the next one in.
+    ASSERT_TRUE(budget.reserve(200, &a));  // beyond the limit, but nothing else is reserved
+    // A requester that stops waiting no longer blocks the one behind it.
     first = budget.reserve(100, &a);
     ASSERT_TRUE(first && !budget.reserve(90, &b) && !budget.reserve(1, &c));
     first.reset();
@@ -34,18 +34,18 @@
     ASSERT_TRUE(budget.reserve(1, &c));
 }
 
-TEST(ConnectionQuota, GivesBackASlotWithItsOwner) {
-    net::DescriptorQuota two(2);
-    auto a = two.acquire();
-    auto b = two.acquire();
-    ASSERT_TRUE(a && b && two.is_full() && !two.acquire());
+TEST(DescriptorQuota, ReleasesSlotWhenItIsDestroyed) {
+    net::DescriptorQuota quota(2);
+    auto a = quota.acquire();
+    auto b = quota.acquire();
+    ASSERT_TRUE(a && b && quota.is_full() && !quota.acquire());
     b = net::DescriptorSlot();
-    ASSERT_TRUE(two.in_use() == 1);
+    ASSERT_TRUE(quota.in_use() == 1);
     { const auto c = std::move(a); }
-    ASSERT_TRUE(two.in_use() == 0 && !a);
+    ASSERT_TRUE(quota.in_use() == 0 && !a);
 }
 
-TEST(ByteAccount, IsOverOnlyBeyondItsLimit) {
+TEST(ByteAccount, IsExceededOnlyBeyondItsLimit) {
     net::ByteAccount account(10);
     account.add(11);
     ASSERT_TRUE(account.is_exceeded());
@@ -53,9 +53,10 @@
     ASSERT_TRUE(!account.is_exceeded() && account.total_bytes() == 10);
 }
 
-TEST(DescriptorShares, LeaveRoomForTheProcessItself) {
-    constexpr auto all = net::divide_descriptors(1024);
-    static_assert(all.clients + all.overflow + all.upstream < 1024 - 16, "room for the process's own");
+TEST(DescriptorShares, LeaveDescriptorsForTheProcessItself) {
+    constexpr auto shares = net::divide_descriptors(1024);
+    static_assert(shares.clients + shares.overflow + shares.upstream < 1024 - 16,
+                  "16 descriptors are left for the process itself");
 }
 
 }  // namespace
