--- a/src/downstream/sessions/arrival_times.h
+++ b/src/downstream/sessions/arrival_times.h
@@ -1,5 +1,6 @@
-// Remembers when each part of a connection's input arrived. A pipelined command is read only once those
-// before it are answered, while its client counts its time from when it was sent. Pure.
+// Records when each part of a connection's input arrived. A pipelined query is read only after the responses
+// to the queries before it, but its client counts its deadline from when it was sent. Does no input or
+// output.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +12,17 @@
 
 class ArrivalTimes {
 public:
-    // All of the input before byte number `end` has arrived at `now`. Both only grow from call to call.
+    // Records that all input up to the offset `end` (exclusive, in bytes) has arrived at `now`. Neither may
+    // decrease from one call to the next.
     void record(std::uint64_t end, Time now);
-    // When the last byte before number `end` arrived; `fallback` where that was never recorded. What stands
-    // before it is forgotten, so `end` only grows from call to call.
+    // Returns when the last byte before the offset `end` arrived, or `fallback` if that was not recorded.
+    // Discards the records before `end`, so `end` may not decrease from one call to the next.
     Time arrival_of(std::uint64_t end, Time fallback);
 
-    // Reads that are told apart: 8 KiB, which may stand behind an open request, are some 64 statements, each
-    // in up to four pieces. Beyond it the latest count as one, dated by its last byte: a client that sends
-    // byte by byte is given more time, never less.
+    // Limit of separately recorded reads: the 8 KiB that may be buffered behind an open request hold about 64
+    // statements, each received in up to four parts. Beyond the limit the latest reads are merged and take
+    // the time of the last one, so that a client that sends byte by byte gets a later deadline, never an
+    // earlier one.
     static constexpr std::size_t kMaxReads = 256;
 
 private:
--- a/src/downstream/sessions/cancel_keys.h
+++ b/src/downstream/sessions/cancel_keys.h
@@ -1,5 +1,6 @@
-// The keys by which a client cancels its query from another connection (PostgreSQL's CancelRequest). A key is
-// sent with the greeting; its secret is drawn from the process's seed, so that other clients cannot guess it.
+// The keys with which clients cancel a query from another connection (PostgreSQL's CancelRequest). A key is
+// sent in the BackendKeyData message of the greeting. Its secret comes from a generator seeded by the
+// process, so that other clients cannot guess it.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,7 @@
     // Issues a key for `session`, which must remove it before it is destroyed.
     CancelKey add(ClientSession& session);
     void remove(const CancelKey& key) { sessions_.erase(key.process); }
-    // The session that holds the key; null where none does or the secret is wrong.
+    // Returns the session that the key was issued for, or null if there is none or the secret is wrong.
     ClientSession* find(const CancelKey& key) const;
 
 private:
@@ -32,7 +33,7 @@
     };
     std::mt19937_64 random_;
     std::uint32_t last_process_ = 0;
-    std::unordered_map<std::uint32_t, KeyHolder> sessions_;  // by the key's process number
+    std::unordered_map<std::uint32_t, KeyHolder> sessions_;  // by CancelKey::process
 };
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/client_framer.cpp
+++ b/src/downstream/sessions/client_framer.cpp
@@ -5,7 +5,8 @@
 
 constexpr std::size_t kEmptyMessageBytes = 4;  // the length field alone
 
-// The largest message of a type that a client may send, its length field included; 0 where it may not.
+// Returns the maximum size in bytes, including the length field, of a message of this type from a client; 0
+// if clients may not send the type.
 std::size_t max_size_of(char type) {
     switch (type) {
         case 'Q':
@@ -28,7 +29,7 @@
 
 }  // namespace
 
-void ClientFramer::bytes_received(Time now) {
+void ClientFramer::on_bytes_received(Time now) {
     last_read_at_ = now;
     arrivals_.record(connection_->consumed_bytes() + connection_->unread_bytes(), now);
 }
@@ -62,26 +63,26 @@
 }
 
 bool ClientFramer::reserve_large_statement(std::size_t size) {
-    reserved_ = budget_.reserve(size, this);
-    waits_for_memory_ = !reserved_;
-    return reserved_ != nullptr;
+    reservation_ = budget_.reserve(size, this);
+    waits_for_memory_ = !reservation_;
+    return reservation_ != nullptr;
 }
 
 void ClientFramer::begin_large_statement(std::size_t size) {
     connection_->consume(pgwire::kHead);
-    large_ = PartialStatement{{{}, std::move(reserved_)}, size - pgwire::kHead};
-    large_->statement.text.reserve(large_->missing_bytes);
+    partial_statement_ = PartialStatement{{{}, std::move(reservation_)}, size - pgwire::kHead};
+    partial_statement_->statement.text.reserve(partial_statement_->missing_bytes);
 }
 
 std::optional<LargeStatement> ClientFramer::read_large_statement() {
-    auto& text = large_->statement.text;
+    auto& text = partial_statement_->statement.text;
     const auto size_before = text.size();
-    connection_->move_to(text, large_->missing_bytes);
-    large_->missing_bytes -= text.size() - size_before;
-    if (large_->missing_bytes > 0) return std::nullopt;
-    auto whole = std::move(large_->statement);
-    large_.reset();
-    return whole;
+    connection_->move_to(text, partial_statement_->missing_bytes);
+    partial_statement_->missing_bytes -= text.size() - size_before;
+    if (partial_statement_->missing_bytes > 0) return std::nullopt;
+    auto statement = std::move(partial_statement_->statement);
+    partial_statement_.reset();
+    return statement;
 }
 
 Time ClientFramer::large_statement_arrival() {
@@ -90,7 +91,7 @@
 
 void ClientFramer::stop() {
     budget_.stop_waiting(this);
-    large_.reset();
+    partial_statement_.reset();
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -1,6 +1,6 @@
-// Cuts a client's input into messages and dates each by the arrival of its last byte. Statements larger than
-// pgwire::kLargestMessage are gathered apart from the connection's buffer, under a budget shared by all
-// clients.
+// Splits a client's input into messages and determines when the last byte of each arrived. Statements larger
+// than pgwire::kLargestMessage are collected outside the connection's buffer, within a memory budget that all
+// clients share.
 #pragma once
 
 #include <memory>
@@ -15,58 +15,59 @@
 
 namespace sloestack::downstream {
 
-// What a client may have sent and not had read: its start-up packet; one whole message or a part of a large
-// one; a little behind an open request.
+// Limits of a connection's unread input: before the start-up packet is read; between requests, for one whole
+// message or a part of a large one; and while a request is open.
 constexpr std::size_t kMaxUnreadStartupBytes = pgwire::kLargestStartup + 1024;
 constexpr std::size_t kMaxUnreadBytes = pgwire::kLargestMessage + 1024;
 constexpr std::size_t kMaxUnreadBehindRequestBytes = std::size_t{8} * 1024;
 
 struct LargeStatement {
-    std::string text;              // as on the wire, with its terminating zero byte
-    std::shared_ptr<void> memory;  // its share of the budget; released with the object
+    std::string text;              // as sent, including the terminating zero byte
+    std::shared_ptr<void> memory;  // its reservation of the memory budget
 };
 
-// Functions that look at the input throw pgwire::BadMessage where it is no message a client may send.
+// Functions that parse the input throw pgwire::BadMessage if it is not a message that a client may send.
 class ClientFramer {
 public:
-    // `connection` may be null where it could not be opened; then nothing but the destructor may be called.
-    // The framer makes no call on it unless asked to. `budget` outlives the framer.
+    // `connection` is null if it could not be opened; then only the destructor may be called. The destructor
+    // does not access the connection, which may be closed before. `budget` outlives the framer.
     ClientFramer(net::Connection* connection, net::MemoryBudget& budget)
         : connection_(connection), budget_(budget) {}
     ~ClientFramer() { stop(); }
     ClientFramer(const ClientFramer&) = delete;
     ClientFramer& operator=(const ClientFramer&) = delete;
 
-    // To be called whenever bytes have been received.
-    void bytes_received(Time now);
+    // Must be called whenever bytes have been received.
+    void on_bytes_received(Time now);
     Time last_read_at() const { return last_read_at_; }
 
-    // The first message; nothing where it is not whole yet. It stands in the connection's buffer until
-    // consumed.
+    // Returns the first message, or std::nullopt if it is incomplete. Its body refers to the connection's
+    // buffer and is valid until the message is consumed.
     std::optional<pgwire::Message> next_startup();
     std::optional<pgwire::Message> next_message();
     void consume(const pgwire::Message& message) { connection_->consume(message.size); }
-    // When the last byte of the message arrived that begins the input now.
+    // Returns when the last byte of `message`, the first one of the input, arrived.
     Time arrival_of(const pgwire::Message& message);
-    // The text of the next query where that comes whole and within `max_size` bytes.
+    // Returns the text of the next message if it is a complete query of at most `max_size` bytes.
     std::optional<std::string_view> peek_query(std::size_t max_size) const;
 
-    // The size of the next message where that is a large statement.
+    // Returns the size in bytes of the next message if it is a large statement.
     std::optional<std::size_t> large_statement_size() const;
-    // Reserves memory; false where there is none yet: to be asked again later, requests are granted in order.
+    // Reserves memory for a large statement of `size` bytes. Returns false if the budget has none left; the
+    // caller must try again later. Reservations are granted in the order of the first attempts.
     bool reserve_large_statement(std::size_t size);
     bool waits_for_memory() const { return waits_for_memory_; }
-    // Begins to gather the statement that memory has been reserved for.
+    // Starts to collect the statement for which memory has been reserved.
     void begin_large_statement(std::size_t size);
-    bool in_large_statement() const { return large_.has_value(); }
-    // Takes what has arrived of it; the statement once it is whole.
+    bool in_large_statement() const { return partial_statement_.has_value(); }
+    // Consumes the part of the statement that has arrived. Returns the statement when it is complete.
     std::optional<LargeStatement> read_large_statement();
-    // When the last byte arrived of the large statement read last.
+    // Returns when the last byte of the large statement read last arrived.
     Time large_statement_arrival();
 
-    // Whether part of a message has arrived.
+    // Returns true if unconsumed input is buffered or a large statement is being collected.
     bool has_partial_message() const { return connection_->unread_bytes() > 0 || in_large_statement(); }
-    // Drops a statement in progress and gives its memory back.
+    // Stops waiting for memory, and discards a partly collected statement with its memory.
     void stop();
 
 private:
@@ -79,8 +80,8 @@
     net::MemoryBudget& budget_;
     ArrivalTimes arrivals_;
     Time last_read_at_ = 0;
-    std::shared_ptr<void> reserved_;
-    std::optional<PartialStatement> large_;
+    std::shared_ptr<void> reservation_;  // until begin_large_statement()
+    std::optional<PartialStatement> partial_statement_;
     bool waits_for_memory_ = false;
 };
 
--- a/src/downstream/sessions/client_listener.cpp
+++ b/src/downstream/sessions/client_listener.cpp
@@ -10,20 +10,20 @@
 constexpr Micros kAcceptRetryDelayUs = 20'000;  // while no descriptor is free
 constexpr Micros kDescriptorWarningIntervalUs = 1'000'000;
 
-// Idle sessions may hold one part in so many of the clients' quota; beyond that they are closed once idle for
-// kCrowdedIdleTimeoutUs.
+// Idle sessions may use the clients' quota divided by kIdleQuotaDivisor; beyond that, sessions are closed
+// that have been idle for kExcessIdleTimeoutUs.
 constexpr int kIdleQuotaDivisor = 3;
-constexpr Micros kCrowdedIdleTimeoutUs = 100'000;
+constexpr Micros kExcessIdleTimeoutUs = 100'000;
 constexpr Micros kIdleCheckIntervalUs = 50'000;
 
-// After a stop. The process may be killed once kMaxLongestWaitUs and 0.7 s more have passed; no request may
-// be open then.
+// Times from the beginning of a stop. The process may be killed after kMaxLongestWaitUs plus 0.7 s; by then
+// no request may be open.
 constexpr Micros kMaxLongestWaitUs = 3'000'000;
-constexpr Micros kMinListenTimeUs = 500'000;           // load balancers may still send clients
-constexpr Micros kListenTimeAfterArrivalUs = 100'000;  // after the last of them
-constexpr Micros kStopIdleTimeoutUs = 500'000;         // a session idle for so long is closed early
+constexpr Micros kMinListenTimeUs = 500'000;           // load balancers may still send new clients
+constexpr Micros kListenTimeAfterArrivalUs = 100'000;  // after the last client was accepted
+constexpr Micros kStopIdleTimeoutUs = 500'000;         // sessions idle for longer are closed early
 constexpr Micros kCloseAllBeforeLongestWaitUs = 800'000;
-constexpr Micros kFailAllAfterLongestWaitUs = 500'000;  // open requests are answered with an error
+constexpr Micros kFailAllAfterLongestWaitUs = 500'000;  // then open requests get an error response
 constexpr Micros kLastLingerUs = 100'000;
 constexpr Micros kStopIntervalUs = 50'000;
 
@@ -66,8 +66,8 @@
     }
 }
 
-// Clients bound how many connections they hold: this keeps clients that ask once and stay connected from
-// taking the whole quota.
+// Clients that send a single query and stay connected must not use up the whole quota, as each client limits
+// only its own number of connections.
 void ClientListener::close_long_idle_sessions() {
     const Time now = deadlines_.now();
     auto idle_count = std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
@@ -76,8 +76,7 @@
     for_each_session([&](ClientSession& session) {
         if (idle_count * kIdleQuotaDivisor <= client_quota_.limit()) return false;
         const bool is_long_idle = session.has_sent_query() &&
-                                  session.last_active_at() <= now - kCrowdedIdleTimeoutUs &&
-                                  session.is_idle();
+                                  session.last_active_at() <= now - kExcessIdleTimeoutUs && session.is_idle();
         if (is_long_idle) {
             session.finish();
             --idle_count;
@@ -113,7 +112,7 @@
     if (client_quota_.is_full() && overflow_quota_.is_full()) pause_accepting();
 }
 
-// No descriptor is left: new clients wait in the kernel's queue.
+// No descriptor is left: new clients wait in the kernel's accept queue.
 void ClientListener::pause_accepting() {
     const Time now = deadlines_.now();
     if (now - last_warning_at_ > kDescriptorWarningIntervalUs) {
@@ -128,8 +127,8 @@
     });
 }
 
-// A client that has sent no query goes first, then the one idle for longest: clients that connect by the
-// hundreds and send nothing must not keep others out.
+// Closes a session that has sent no query, or else the one that has been idle for longest: hundreds of
+// clients that connect and send nothing must not keep other clients out.
 bool ClientListener::close_one_idle_session() {
     if (lingering_quota_.is_full() && !release_lingering_slot()) return false;
     for (const auto may_close : {&ClientSession::is_idle_before_first_query, &ClientSession::is_idle}) {
@@ -143,7 +142,7 @@
     return false;
 }
 
-// Closes the session that lingers for longest.
+// Closes the lingering session that was used least recently.
 bool ClientListener::release_lingering_slot() {
     const auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
                                      [](const auto& session) { return session->is_lingering(); });
@@ -173,8 +172,8 @@
     continue_stop();
 }
 
-// Where the other proxies restart as well, clients cannot go elsewhere: sessions in use are closed late, idle
-// ones early, each between requests.
+// Sessions are closed between requests: idle ones early, but those in use late, because while the other
+// proxies restart as well their clients cannot connect elsewhere.
 void ClientListener::continue_stop() {
     const Time now = deadlines_.now();
     const Micros stopped_for = now - stopping_since_;
@@ -183,7 +182,8 @@
     if (listener_ && (has_successor_ || may_stop_listening)) stop_listening();
     const bool close_all =
         stopped_for >= std::max(kMinListenTimeUs, longest_wait_ - kCloseAllBeforeLongestWaitUs);
-    // Closed right behind its response a connection loses no query; with a successor that begins at once.
+    // A connection that is closed right after its response loses no query. With a successor, sessions close
+    // this way from the start.
     context_.close_after_response = has_successor_ || close_all;
     const bool fail_all = stopped_for >= longest_wait_ + kFailAllAfterLongestWaitUs;
     if (fail_all) stop_listening();
@@ -201,7 +201,7 @@
 void ClientListener::stop_listening() {
     resume_accepting_.clear();
     if (!listener_) return;
-    // Connections that the kernel has accepted would be reset once nothing listens.
+    // Closing the socket resets the connections that are still in the kernel's accept queue.
     listener_->accept_pending();
     listener_.reset();
 }
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -1,5 +1,5 @@
-// Accepts clients and owns their sessions: bounds their number, closes idle ones for others that wait, and
-// winds all of them down when the proxy stops.
+// Accepts clients and owns their sessions: limits their number, closes idle sessions in favour of new
+// clients, and closes all of them in order when the proxy stops.
 #pragma once
 
 #include <list>
@@ -12,7 +12,7 @@
 
 namespace sloestack::downstream {
 
-// Where clients connect: at an address, or on a listening socket that the process was started with.
+// Where clients connect: an address, or a listening socket that the process inherited at start-up.
 struct ListenEndpoint {
     sockaddr_in address{};
     std::optional<int> inherited_socket = {};
@@ -20,15 +20,15 @@
 
 class ClientListener final : private ClientSessionOwner {
 public:
-    // The shares of the process's descriptors that clients' connections have, by their state.
+    // The descriptor quotas of client connections, by the connection's state.
     struct Quotas {
-        net::DescriptorQuota& clients;    // served
-        net::DescriptorQuota& overflow;   // whose requests are only rejected
+        net::DescriptorQuota& clients;    // whose requests are served
+        net::DescriptorQuota& overflow;   // whose requests are all rejected
         net::DescriptorQuota& lingering;  // in a lingering close
     };
-    // `class_may_overlap` has an element for each of `class_names`. `longest_wait`, of any client for a
-    // response, bounds how long a stop takes. `seed` is for the keys that clients cancel by. All references
-    // outlive the listener.
+    // `class_may_overlap` has one element for each of `class_names`. `longest_wait` is the longest time in
+    // microseconds that a client waits for a response; it determines how long a stop takes. `seed` seeds the
+    // secrets of cancel keys. All references must outlive the listener.
     ClientListener(net::Loop& loop, Deadlines& deadlines, const Quotas& quotas, net::ByteAccount& account,
                    net::MemoryBudget& large_statement_budget, metrics::RequestMetrics& metrics,
                    const ListenEndpoint& listen_endpoint, traffic::RequestDispatcher& dispatcher,
@@ -36,16 +36,16 @@
                    bool uses_sessions, Micros longest_wait, std::uint64_t seed);
     ~ClientListener();
 
-    // Begins to accept. Throws std::runtime_error where the address cannot be listened on.
+    // Starts to accept clients. Throws std::runtime_error if it cannot listen.
     void open();
     bool is_accepting() const { return listener_ && !stopping_since_; }
-    // Stops in order: clients are still served for a while, each connection is closed between its requests,
-    // and is_stopped() holds once the last response has left. Where another process accepts clients already
-    // (`has_successor`), this one stops listening at once.
+    // Starts a graceful stop: clients are still accepted and served for a while, each connection is closed
+    // between its requests, and is_stopped() returns true once all connections are closed. With
+    // `has_successor`, another process already accepts clients, and this one stops listening at once.
     void stop(bool has_successor);
     bool is_stopped() const { return stopping_since_ && !listener_ && sessions_.empty(); }
-    // Closes idle sessions while there are more than the quota allows, as after it has been lowered; busy
-    // ones close after their responses.
+    // Closes idle sessions while the quota is exceeded, as after it has been lowered. Busy sessions close
+    // after their responses.
     void shrink_to_quota();
     std::uint16_t port() const { return listener_->port(); }
     std::size_t session_count() const { return sessions_.size(); }
@@ -60,7 +60,7 @@
     void close_long_idle_sessions();
     void continue_stop();
     void stop_listening();
-    // Calls `visit` with each session, which may be closed by that, while it returns true.
+    // Calls `visit` with each session until it returns false. `visit` may close the session.
     template <class Visit>
     void for_each_session(Visit visit);
     void session_used(ClientSession& session) override;
@@ -73,7 +73,7 @@
     net::DescriptorQuota& lingering_quota_;
     ListenEndpoint listen_endpoint_;
     SessionContext context_;
-    Sessions sessions_;  // the one used last at the back
+    Sessions sessions_;  // ordered by last use, the most recent at the back
     std::map<const ClientSession*, Sessions::iterator> positions_;
     std::unique_ptr<net::Listener> listener_;
     Deadline resume_accepting_;
@@ -83,7 +83,7 @@
     bool has_successor_ = false;
     Time last_accepted_at_ = 0;
     Time last_warning_at_ = 0;
-    Time stopping_since_ = 0;  // 0 while it does not stop
+    Time stopping_since_ = 0;  // 0 until stop() is called
 };
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -5,11 +5,12 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr std::size_t kMaxUnwrittenBytes = pgwire::kLargestMessage;  // beyond which input waits
-// Unread bytes that a session may keep while all of them together hold too much.
+constexpr std::size_t kMaxUnwrittenBytes = pgwire::kLargestMessage;  // beyond it no input is read
+// Unread bytes that a session may keep buffered while the sessions together exceed their limit.
 constexpr std::size_t kUnreadBytesUnderPressure = std::size_t{16} * 1024;
-constexpr int kMaxMessagesPerIteration = 16;  // so that no client keeps the event loop to itself
-// Clients were seen to pipeline up to nine; each open query takes an upstream connection, which are few.
+constexpr int kMaxMessagesPerIteration = 16;  // so that no client monopolises the event loop
+// Clients have been seen to pipeline up to nine queries. The limit is lower because each open query occupies
+// an upstream connection, of which there are few.
 constexpr std::size_t kMaxOpenQueries = 8;
 constexpr Micros kMemoryRetryDelayUs = 5'000;
 constexpr Micros kIdleBeforeFirstQueryUs = 50'000;
@@ -56,12 +57,12 @@
 // ---- Reading ----
 void ClientSession::received() {
     if (state_ == State::finishing) return connection_->consume(connection_->unread_bytes());
-    framer_.bytes_received(context_.deadlines.now());
+    framer_.on_bytes_received(context_.deadlines.now());
     read_messages();
-    if (input_is_paused()) disconnect_detector_.input_paused();
+    if (input_is_paused()) disconnect_detector_.on_input_paused();
     if (state_ == State::open && responses_.empty() && context_.account.is_exceeded() &&
         connection_->unread_bytes() > kUnreadBytesUnderPressure)
-        fail_session(pgwire::code::kOutOfMemory, "too much is waiting to be read");
+        fail_session(pgwire::code::kOutOfMemory, "memory limit for buffered client input exceeded");
 }
 
 void ClientSession::drained() {
@@ -74,12 +75,12 @@
 }
 
 void ClientSession::read_messages() {
-    if (is_reading_) return;  // a response written while reading: the loop below goes on
+    if (is_reading_) return;  // called for a response written in the loop below, which continues
     is_reading_ = true;
     try {
-        int left = kMaxMessagesPerIteration;
-        while (left > 0 && read_message()) --left;
-        if (left == 0)
+        int messages_left = kMaxMessagesPerIteration;
+        while (messages_left > 0 && read_message()) --messages_left;
+        if (messages_left == 0)
             resume_reading_.set(context_.deadlines, context_.deadlines.now(), [this] { read_messages(); });
     } catch (const pgwire::BadMessage& error) {
         if (!is_ending()) fail_session(pgwire::code::kProtocolViolation, error.what());
@@ -92,7 +93,7 @@
 
 bool ClientSession::read_message() {
     if (is_ending()) return false;
-    if (connection_->unwritten_bytes() > kMaxUnwrittenBytes) return false;  // goes on once drained
+    if (connection_->unwritten_bytes() > kMaxUnwrittenBytes) return false;  // continues in drained()
     if (!responses_.empty() && !next_query_may_overlap()) return false;
     if (framer_.in_large_statement()) return continue_large_statement();
     if (state_ == State::open) {
@@ -105,9 +106,9 @@
     const auto message = state_ == State::startup ? framer_.next_startup() : framer_.next_message();
     if (!message) return false;
     owner_.session_used(*this);
-    timeouts_.message_read();
+    timeouts_.on_message_read();
     message_arrived_at_ = framer_.arrival_of(*message);
-    // Handled before it is consumed: the message stands in the connection's buffer.
+    // Consumed after it is handled, because the message refers to the connection's buffer.
     if (state_ == State::startup)
         handle_startup(message->body);
     else
@@ -117,7 +118,8 @@
     return true;
 }
 
-// Memory for all of it is reserved before its body is read; until then that waits in the kernel.
+// Memory for the whole statement is reserved before its body is read; until then the body stays in the socket
+// buffer.
 bool ClientSession::begin_large_statement(std::size_t size) {
     if (!framer_.reserve_large_statement(size)) {
         const Time retry_at = context_.deadlines.now() + kMemoryRetryDelayUs;
@@ -132,21 +134,22 @@
 bool ClientSession::continue_large_statement() {
     auto statement = framer_.read_large_statement();
     if (!statement) return false;
-    timeouts_.message_read();
+    timeouts_.on_message_read();
     message_arrived_at_ = framer_.large_statement_arrival();
     auto& text = statement->text;
-    if (text.find('\0') != text.size() - 1) throw pgwire::BadMessage("a query without its end");
+    if (text.find('\0') != text.size() - 1)
+        throw pgwire::BadMessage("Query message does not end with its only zero byte");
     text.pop_back();
     if (skip_to_sync_) return true;
     handle_query(std::move(text), std::move(statement->memory));
     return state_ != State::closed;
 }
 
-// Only reads may overlap with reads; anything else, and what is malformed, waits for its turn.
+// Only reads may overlap with reads; other queries and malformed messages wait for the responses before them.
 bool ClientSession::next_query_may_overlap() const {
     if (framer_.in_large_statement() || skip_to_sync_) return false;
     if (responses_.size() >= kMaxOpenQueries || context_.account.is_exceeded()) return false;
-    // All before the last one have passed the same check.
+    // The open queries before the last one have passed the same check.
     if (!statements_.may_overlap(responses_.last_request_class())) return false;
     try {
         const auto text = framer_.peek_query(kMaxUnreadBehindRequestBytes);
@@ -165,19 +168,19 @@
 void ClientSession::all_responses_written() {
     disconnect_detector_.stop();
     connection_->set_max_unread_bytes(kMaxUnreadBytes);
-    // Between requests only: a query may have been sent right behind the one just answered.
+    // Only between requests: a query may have been sent right behind the one whose response was just written.
     const bool should_close = context_.close_after_response || context_.client_quota.is_exceeded();
     if (should_close && is_between_requests()) return finish();
     read_messages();
 }
 
-// A response of which part has been written cannot be canceled.
+// A response that has been written in part cannot be canceled.
 void ClientSession::cancel() {
     if (responses_.empty() || responses_.is_streaming() || state_ != State::open) return;
     responses_.cancel_first();
 }
 
-// ---- Time limits ----
+// ---- Time-outs ----
 void ClientSession::renew_timeout() {
     if (is_ending()) return;
     SessionActivity activity;
@@ -199,13 +202,13 @@
         return renew_timeout();
     }
     if (state_ == State::open && framer_.has_partial_message())
-        return fail_session(pgwire::code::kProtocolViolation, "a message without its end");
-    // What waits in the kernel is about to be read: a request may be coming in.
+        return fail_session(pgwire::code::kProtocolViolation, "timed out waiting for the rest of a message");
+    // Input is pending in the kernel and about to be read: it may be a request.
     if (state_ == State::open && !is_between_requests()) return renew_timeout();
     finish();
 }
 
-// ---- The end ----
+// ---- Closing ----
 void ClientSession::ended(net::ConnectionEnd how) {
     if (how == net::ConnectionEnd::error) return close();
     input_has_ended_ = true;
@@ -214,7 +217,7 @@
         return;
     }
     read_messages();
-    if (!responses_.empty() && state_ != State::closed) disconnect_detector_.input_ended();
+    if (!responses_.empty() && state_ != State::closed) disconnect_detector_.on_input_ended();
 }
 
 void ClientSession::fail_requests_and_finish() {
@@ -248,8 +251,8 @@
     is_lingering_ = true;
     connection_->consume(connection_->unread_bytes());
     connection_->shutdown_write();
-    // A client that has ended its input has nothing left to be read. Not closed here: the owner may be
-    // iterating over its sessions.
+    // After the client's FIN no more input can arrive, so there is no need to linger. The close is deferred
+    // because the owner may be iterating over its sessions.
     if (input_has_ended_) return timeouts_.call_soon([this] { close(); });
     timeouts_.await_close(context_.linger_deadline, [this] { close(); });
 }
--- a/src/downstream/sessions/client_session.h
+++ b/src/downstream/sessions/client_session.h
@@ -1,6 +1,7 @@
-// One client's connection, from its start-up packet to its end: reads its queries and has them answered in
-// their order. PostgreSQL runs the queries of a connection one after the other; reads that follow reads are
-// begun here while those before them are open, which a client cannot tell apart.
+// One client connection, from its start-up packet to its close: reads the client's queries and writes the
+// responses in the order of the queries. PostgreSQL executes the queries of a connection one after the other.
+// Here a read that follows other reads is forwarded while those are still open, which the client cannot
+// notice.
 #pragma once
 
 #include <algorithm>
@@ -18,9 +19,9 @@
 
 class ClientSessionOwner {
 public:
-    // The client has sent a message.
+    // A message of the client has been read.
     virtual void session_used(ClientSession& session) = 0;
-    // The connection is closed. The session may still be on the call stack.
+    // The connection is closed. The session's functions may still be on the call stack.
     virtual void session_closed(ClientSession& session) = 0;
 
 protected:
@@ -31,38 +32,39 @@
                             private ResponseWriterOwner,
                             private DisconnectDetectorOwner {
 public:
-    // Takes over the socket `fd`, for which `slot` stands. Where `reject_requests`, each request is rejected
-    // and the session then closed. `context` and `owner` outlive the session.
+    // Takes ownership of the socket `fd`, which is counted by `slot`. With `reject_requests`, the first
+    // request is rejected and the session is finished. `context` and `owner` outlive the session.
     ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd,
                   net::DescriptorSlot slot, bool reject_requests);
     ~ClientSession();
     ClientSession(const ClientSession&) = delete;
     ClientSession& operator=(const ClientSession&) = delete;
 
-    // False where the connection could not be set up; then the session can only be destroyed.
+    // Returns false if the connection could not be set up; then the session can only be destroyed.
     bool is_open() const { return connection_ != nullptr; }
     bool has_sent_query() const { return has_sent_query_; }
-    // No request is open and nothing of the client's waits to be read: to close loses no request.
+    // Returns true if no request is open and no input is waiting to be read, so that closing loses no
+    // request.
     bool is_between_requests() const;
-    // The same, and the client has taken its last response.
+    // The same, and the kernel has taken the last response.
     bool is_idle() const;
-    // Connected for a while and has sent no query, nor part of one.
+    // Returns true if the client has been connected for a while and has sent no query, not even part of one.
     bool is_idle_before_first_query() const;
     bool is_ending() const { return state_ == State::finishing || state_ == State::closed; }
     bool is_lingering() const { return is_lingering_; }
-    // When it connected, was read from or had a response, whichever is latest.
+    // Returns the time of the connect, the last read or the last response, whichever is latest.
     Time last_active_at() const;
 
-    // Answers open requests with an error and finishes.
+    // Responds to open requests with an error and calls finish().
     void fail_requests_and_finish();
-    // Ends the connection by a lingering close: what is written leaves, then the end of our side is sent, and
-    // what still comes is dropped until the client closes too or a time limit is over. To close over unread
-    // input would send a reset, which can destroy the last response. Requests that come from now on are not
-    // answered; their sender may retry them on another connection.
+    // Starts a lingering close: sends all written bytes, then a FIN, and discards further input until the
+    // client closes too or a time-out expires. Closing a socket with unread input would send a RST, on which
+    // the client may lose the last response. Requests that arrive from now on get no response; the client may
+    // send them again on another connection.
     void finish();
-    // Closes at once: for a broken connection, or where a lingering close takes too long.
+    // Closes at once, for a failed connection or a lingering close that takes too long.
     void close();
-    // The client's request to cancel, from another connection.
+    // Handles the client's CancelRequest, which arrives on another connection.
     void cancel();
 
     void received() override;
@@ -85,7 +87,7 @@
     void on_client_disconnected() override { close(); }
 
     void read_messages();
-    // These return whether a message has been read and more may follow.
+    // Each returns true if it has read a message and the next one may be read.
     bool read_message();
     bool read_small_message();
     bool begin_large_statement(std::size_t size);
@@ -114,10 +116,10 @@
     bool skip_to_sync_ = false;  // after an error in the extended query protocol
     bool input_has_ended_ = false;
     bool is_reading_ = false;
-    bool is_lingering_ = false;  // finishing, and all has been written
+    bool is_lingering_ = false;  // finishing, and the FIN has been sent
     bool has_sent_query_ = false;
     CancelKey cancel_key_;
-    Time message_arrived_at_ = 0;  // the last byte of the message read last
+    Time message_arrived_at_ = 0;  // arrival of the last byte of the message read last
     StatementReader statements_;
     SessionTimeouts timeouts_;
     Deadline resume_reading_;
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -1,4 +1,4 @@
-// How a client session handles each message of PostgreSQL's protocol.
+// How a client session handles the messages of PostgreSQL's protocol.
 #include "pgwire/build.h"
 #include "pgwire/statement.h"
 #include "sessions/client_session.h"
@@ -15,7 +15,8 @@
     const auto startup = pgwire::read_startup(body);
     if (startup.kind == pgwire::Startup::encryption) return responses_.respond("N");
     if (startup.kind == pgwire::Startup::cancel) {
-        // As in PostgreSQL nothing is answered here; the session that it names answers its own client.
+        // As in PostgreSQL, a CancelRequest gets no response here; the canceled query does, in its own
+        // session.
         auto* session = context_.cancel_keys.find({startup.process, startup.secret});
         if (session) session->cancel();
         return finish();
@@ -31,7 +32,8 @@
         case 'Q': {
             pgwire::Fields fields(message.body);
             const auto text = fields.text();
-            if (!fields.empty()) throw pgwire::BadMessage("a query with bytes behind its end");
+            if (!fields.empty())
+                throw pgwire::BadMessage("Query message has bytes after its terminating zero byte");
             return handle_query(std::string(text));
         }
         case 'X':
@@ -50,16 +52,16 @@
             skip_to_sync_ = message.type != 'F';
             return responses_.respond(unsupported_message_response(message.type));
         default:
-            throw pgwire::BadMessage("a message of an unknown type");
+            throw pgwire::BadMessage("unknown message type");
     }
 }
 
 void ClientSession::handle_query(std::string text, std::shared_ptr<void> memory) {
     has_sent_query_ = true;
     if (pgwire::is_blank(text)) {
-        // Load balancers take the response for readiness.
+        // Load balancers use an empty query as a readiness check.
         if (!context_.dispatcher.has_ready_endpoints())
-            return respond_with_error(pgwire::code::kCannotConnectNow, "no member is known yet");
+            return respond_with_error(pgwire::code::kCannotConnectNow, "no endpoint is known yet");
         return responses_.respond(empty_query_response());
     }
     if (reject_requests_) {
@@ -69,11 +71,11 @@
     auto result = statements_.read(std::move(text), std::move(memory), message_arrived_at_);
     if (const auto* error = std::get_if<StatementError>(&result)) return reject_statement(*error);
     auto& statement = std::get<ParsedStatement>(result);
-    // An endpoint that drops repeats cannot tell two requests of one name apart.
+    // An endpoint that drops duplicates cannot distinguish two requests with the same id.
     if (!context_.open_request_ids.emplace(statement.id).second) {
         context_.metrics.count_response(statement.request.arrival.request_class,
                                         metrics::ResponseKind::failed);
-        return respond_with_error(pgwire::code::kInvalidParameter, "a request of this id is open already");
+        return respond_with_error(pgwire::code::kInvalidParameter, "a request with this id is already open");
     }
     connection_->set_max_unread_bytes(kMaxUnreadBehindRequestBytes);
     responses_.submit(std::move(statement));
@@ -87,7 +89,7 @@
         case StatementError::Kind::unknown_replica_group:
             context_.metrics.count_response(error.request_class, metrics::ResponseKind::rejected);
             return responses_.respond(error_response(pgwire::code::kCannotConnectNow,
-                                                     "no member of this cluster is known",
+                                                     "no endpoint of this cluster is known",
                                                      kRetryAfterWhenBusyUs));
         case StatementError::Kind::deadline_exceeded:
             context_.metrics.count_unserved(error.request_class,
@@ -96,7 +98,8 @@
     }
 }
 
-// A rejection that waits behind open reads counts as one of its class, so that reads behind it may overlap.
+// A rejection that waits behind open reads counts as a query of its class, so that reads behind it may
+// overlap.
 void ClientSession::reject_request(int request_class, Micros retry_after) {
     context_.metrics.count_response(request_class, metrics::ResponseKind::rejected);
     responses_.respond(rejection_response(retry_after), request_class);
--- a/src/downstream/sessions/disconnect_detector.cpp
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -5,20 +5,20 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr Micros kFirstCheckDelayUs = 2'000;  // a round trip
-constexpr Micros kCheckIntervalUs = 10'000;   // a reset may come at any time
+constexpr Micros kFirstCheckDelayUs = 2'000;  // for a round trip: the notice and a RST in response
+constexpr Micros kCheckIntervalUs = 10'000;   // a RST may arrive at any time
 
 }  // namespace
 
-void DisconnectDetector::input_ended() { schedule_check(kFirstCheckDelayUs); }
+void DisconnectDetector::on_input_ended() { schedule_check(kFirstCheckDelayUs); }
 
-void DisconnectDetector::input_paused() {
+void DisconnectDetector::on_input_paused() {
     if (!check_.is_set()) schedule_check(kCheckIntervalUs);
 }
 
 bool DisconnectDetector::client_disconnected() {
     if (connection_->is_error_free()) return false;
-    // The caller may be in the midst of work for this session.
+    // Deferred: the caller may be using this session.
     check_.set(deadlines_, deadlines_.now(), [this] { owner_.on_client_disconnected(); });
     return true;
 }
@@ -34,8 +34,8 @@
 
 void DisconnectDetector::check() {
     if (!connection_->is_error_free()) return owner_.on_client_disconnected();
-    const bool input_matters = owner_.input_has_ended() || owner_.input_is_paused();
-    if (owner_.waits_for_response() && input_matters) schedule_check(kCheckIntervalUs);
+    const bool cannot_read_fin = owner_.input_has_ended() || owner_.input_is_paused();
+    if (owner_.waits_for_response() && cannot_read_fin) schedule_check(kCheckIntervalUs);
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/disconnect_detector.h
+++ b/src/downstream/sessions/disconnect_detector.h
@@ -1,6 +1,7 @@
-// Finds out whether a client that waits for a response has left. The end of its input does not tell: it may
-// only have finished asking. A client that has left answers a byte with a reset, sooner or later, while one
-// that still reads skips a notice; so a notice is written and the socket is checked from then on.
+// Detects whether a client that waits for a response has disconnected. A FIN does not show that: the client
+// may have half-closed the connection after its last query and still be reading. So a NoticeResponse is
+// written after a FIN: a client that still reads ignores it, while the host of one that has closed answers it
+// with a RST sooner or later. The socket is then checked for that error at intervals.
 #pragma once
 
 #include "deadlines/deadlines.h"
@@ -11,13 +12,14 @@
 // The session that a DisconnectDetector belongs to.
 class DisconnectDetectorOwner {
 public:
-    // Whether the end of the client's input has been read.
+    // Whether the client's FIN has been read.
     virtual bool input_has_ended() const = 0;
-    // Whether input waits behind an open request and is not read, so that its end is not seen.
+    // Whether reading is paused because too much input is buffered behind an open request, so that a FIN
+    // behind it would not be read.
     virtual bool input_is_paused() const = 0;
     virtual bool waits_for_response() const = 0;
-    // Whether a response is being written in pieces: nothing may stand between these, and a client that has
-    // left is noticed as they are written.
+    // Whether a response is being streamed: a notice must not be written between its parts, and writing these
+    // detects a disconnect anyway.
     virtual bool is_streaming_response() const = 0;
     virtual void on_client_disconnected() = 0;
 
@@ -27,16 +29,18 @@
 
 class DisconnectDetector {
 public:
-    // `connection` may be null where it could not be opened, and closed before this is destroyed; then
-    // nothing but stop() may be called. All outlive their last use.
+    // `connection` is null if it could not be opened. Without a connection, or once it is closed, only stop()
+    // may be called. `deadlines` and `owner` outlive the detector.
     DisconnectDetector(Deadlines& deadlines, DisconnectDetectorOwner& owner, net::Connection* connection)
         : deadlines_(deadlines), owner_(owner), connection_(connection) {}
 
-    // The client's input has ended: checks the connection shortly, then at intervals while it matters.
-    void input_ended();
-    // The client's input is paused: checks the connection at intervals, unless it does already.
-    void input_paused();
-    // Checks at once; where the client has left, on_client_disconnected() is called with the next sweep.
+    // The client's FIN has been read: checks the connection after a short delay, then at intervals while a
+    // response is outstanding.
+    void on_input_ended();
+    // Reading is paused: checks the connection at intervals, unless that is scheduled already.
+    void on_input_paused();
+    // Checks the connection now. If the client has disconnected, returns true and has
+    // on_client_disconnected() called in the next sweep of the deadlines.
     bool client_disconnected();
     void stop() { check_.clear(); }
 
--- a/src/downstream/sessions/response_messages.cpp
+++ b/src/downstream/sessions/response_messages.cpp
@@ -8,7 +8,7 @@
 using pgwire::Builder;
 
 constexpr Micros kMicrosPerMillisecond = 1000;
-constexpr std::size_t kValueOverheadBytes = 128;  // of the messages round a value, for one allocation
+constexpr std::size_t kValueOverheadBytes = 128;  // of the messages around a value, to allocate once
 constexpr char kFunctionCall = 'F';
 
 std::int64_t milliseconds_rounded_up(Micros time) {
@@ -33,14 +33,15 @@
 }
 
 std::string rejection_response(Micros retry_after) {
-    return error_response(pgwire::code::kTooManyConnections, "not now", retry_after);
+    return error_response(pgwire::code::kTooManyConnections, "request rejected; it can be retried",
+                          retry_after);
 }
 
 std::string unsupported_message_response(char type) {
     std::string out;
     Builder build(out);
-    build.error("ERROR", pgwire::code::kNotSupported, "only simple queries are served here");
-    // Other messages of the extended protocol are answered with ReadyForQuery once Sync comes.
+    build.error("ERROR", pgwire::code::kNotSupported, "only the simple query protocol is supported");
+    // The other messages belong to the extended query protocol: ReadyForQuery is sent when Sync arrives.
     if (type == kFunctionCall) build.ready();
     return out;
 }
@@ -67,7 +68,7 @@
 
 std::string input_ended_notice() {
     std::string out;
-    Builder(out).notice("input has ended; the answer still comes");
+    Builder(out).notice("end of input received; the response will still be sent");
     return out;
 }
 
--- a/src/downstream/sessions/response_messages.h
+++ b/src/downstream/sessions/response_messages.h
@@ -1,4 +1,4 @@
-// The messages that the proxy sends to clients, each as bytes ready to be written. Pure.
+// Builds the messages that the proxy sends to clients, as bytes ready to be written. Does no input or output.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,31 @@
 
 namespace sloestack::downstream {
 
-// An ErrorResponse that ends one query; the connection goes on. `retry_after` in microseconds, rounded up to
-// whole milliseconds on the wire.
+// An ErrorResponse and ReadyForQuery, which end one query; the connection stays open. `retry_after` is in
+// microseconds and sent in milliseconds, rounded up.
 std::string error_response(std::string_view sqlstate, std::string_view message,
                            std::optional<Micros> retry_after = std::nullopt);
 // An ErrorResponse after which the connection is closed.
 std::string fatal_error(std::string_view sqlstate, std::string_view message);
-// The request was not attempted; retrying it is harmless. A `retry_after` of 0 asks for no delay.
+// The response to a rejected request. The request was not attempted, so that a retry is safe. A `retry_after`
+// of 0 asks for a retry without delay.
 std::string rejection_response(Micros retry_after);
-// The answer to a message of the extended query protocol, `type`: only simple queries are served.
+// The error response to a message of the type `type` outside the simple query protocol, the only one
+// supported.
 std::string unsupported_message_response(char type);
 
+// The messages from AuthenticationOk to ReadyForQuery that follow the start-up packet. With
+// `negotiate_minor_version` they begin with NegotiateProtocolVersion.
 std::string greeting(const CancelKey& key, bool negotiate_minor_version);
 std::string ready_for_query();
 std::string empty_query_response();
-// Skipped by a client that reads on; a client that has left answers it with a reset.
+// A NoticeResponse for a client that has sent a FIN: ignored by a client that still reads, and answered with
+// a RST if the client has closed the connection.
 std::string input_ended_notice();
 
-// A whole response of one row.
+// A whole response with one row.
 std::string value_response(const traffic::ResultValue& value);
-// The beginning of a response whose value of `size` bytes follows, and what stands behind the value.
+// The parts of a streamed response before and after its value of `size` bytes.
 std::string value_response_head(const traffic::ResultValue& head, std::size_t size);
 std::string value_response_end(const std::string& command_tag);
 
--- a/src/downstream/sessions/response_writer.cpp
+++ b/src/downstream/sessions/response_writer.cpp
@@ -9,7 +9,7 @@
 
 using metrics::ResponseKind;
 
-// Of a streamed response, beyond what the client's kernel has taken.
+// How much of a streamed response may be buffered here before its source is paused.
 constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
 
 }  // namespace
@@ -25,7 +25,7 @@
 void ResponseWriter::respond(std::string bytes, int request_class) {
     if (queries_.empty()) return connection_->write(bytes);
     queries_.push_back(std::make_unique<Query>(*this, request_class));
-    hold(*queries_.back(), std::move(bytes));
+    buffer_response(*queries_.back(), std::move(bytes));
 }
 
 void ResponseWriter::cancel_first() {
@@ -38,7 +38,7 @@
 void ResponseWriter::fail_all() {
     const bool response_is_incomplete = is_streaming();
     for (auto& query : queries_) {
-        auto bytes = take_held(*query);
+        auto bytes = take_buffered_response(*query);
         if (query->request) {
             cancel_request(*query);
             context_.metrics.count_response(query->request_class, ResponseKind::failed);
@@ -50,7 +50,7 @@
 
 void ResponseWriter::discard_all() {
     for (auto& query : queries_) {
-        take_held(*query);
+        take_buffered_response(*query);
         cancel_request(*query);
     }
     queries_.clear();
@@ -67,14 +67,14 @@
     query.source = &source;
     if (!is_first(query)) {
         source.set_paused(true);
-        return hold(query, std::move(bytes));
+        return buffer_response(query, std::move(bytes));
     }
     connection_->write(bytes);
     owner_.response_progressed();
 }
 
 void ResponseWriter::on_value_chunk(Query& query, std::string_view bytes) {
-    if (!SLOESTACK_INVARIANT(is_first(query), "a source that is held gives nothing")) return;
+    if (!SLOESTACK_INVARIANT(is_first(query), "only the first open query streams its response")) return;
     connection_->write(bytes);
     const std::size_t window = context_.account.is_exceeded() ? 0 : kStreamWindowBytes;
     if (connection_->unwritten_bytes() > window) query.source->set_paused(true);
@@ -88,12 +88,12 @@
 
 void ResponseWriter::on_value_aborted(Query& query) {
     if (!is_first(query)) {
-        // Nothing of it has been written.
-        take_held(query);
+        // No part of the response has been written.
+        take_buffered_response(query);
         return on_failed(query);
     }
     context_.metrics.count_response(query.request_class, ResponseKind::failed);
-    release(query);
+    detach_request(query);
     owner_.response_incomplete();
 }
 
@@ -104,13 +104,13 @@
 
 void ResponseWriter::on_failed(Query& query) {
     context_.metrics.count_response(query.request_class, ResponseKind::failed);
-    complete(query, error_response(pgwire::code::kSystemError, "no member has answered in time"));
+    complete(query, error_response(pgwire::code::kSystemError, "no endpoint responded in time"));
 }
 
 void ResponseWriter::complete(Query& query, std::string bytes) {
-    release(query);
+    detach_request(query);
     query.source = nullptr;
-    if (!is_first(query)) return hold(query, std::move(bytes));
+    if (!is_first(query)) return buffer_response(query, std::move(bytes));
     connection_->write(bytes);
     queries_.pop_front();
     continue_with_next();
@@ -119,30 +119,30 @@
 void ResponseWriter::continue_with_next() {
     last_response_at_ = context_.deadlines.now();
     while (!queries_.empty() && !queries_.front()->request) {
-        connection_->write(take_held(*queries_.front()));
+        connection_->write(take_buffered_response(*queries_.front()));
         queries_.pop_front();
     }
     if (queries_.empty()) return owner_.all_responses_written();
     owner_.response_written();
     if (!is_streaming()) return;
     auto& first = *queries_.front();
-    connection_->write(take_held(first));
+    connection_->write(take_buffered_response(first));
     owner_.response_progressed();
-    first.source->set_paused(false);  // last: its bytes come at once, and its end may
+    first.source->set_paused(false);  // last, because it may deliver chunks and the end of the value at once
 }
 
-void ResponseWriter::hold(Query& query, std::string bytes) {
-    SLOESTACK_INVARIANT(query.held_response.empty(), "a query has one answer");
+void ResponseWriter::buffer_response(Query& query, std::string bytes) {
+    SLOESTACK_INVARIANT(query.buffered_response.empty(), "a query has at most one buffered response");
     context_.account.add(bytes.size());
-    query.held_response = std::move(bytes);
+    query.buffered_response = std::move(bytes);
 }
 
-std::string ResponseWriter::take_held(Query& query) {
-    context_.account.remove(query.held_response.size());
-    return std::exchange(query.held_response, {});
+std::string ResponseWriter::take_buffered_response(Query& query) {
+    context_.account.remove(query.buffered_response.size());
+    return std::exchange(query.buffered_response, {});
 }
 
-traffic::RequestId ResponseWriter::release(Query& query) {
+traffic::RequestId ResponseWriter::detach_request(Query& query) {
     if (!query.id.empty()) context_.open_request_ids.erase(query.id);
     query.id.clear();
     return std::exchange(query.request, 0);
@@ -150,7 +150,7 @@
 
 void ResponseWriter::cancel_request(Query& query) {
     query.source = nullptr;
-    if (const auto request = release(query)) context_.dispatcher.cancel_request(request);
+    if (const auto request = detach_request(query)) context_.dispatcher.cancel_request(request);
 }
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/response_writer.h
+++ b/src/downstream/sessions/response_writer.h
@@ -1,5 +1,5 @@
-// Writes the responses to one client's queries in the order in which they were asked. The response of the
-// first open query is written as it comes; those of later ones are held until all before them are written.
+// Writes the responses to one client's queries in the order of the queries. The response to the first open
+// query is written as it arrives; responses to later ones are buffered until all before them are written.
 #pragma once
 
 #include <deque>
@@ -15,13 +15,14 @@
 // The session that a ResponseWriter belongs to.
 class ResponseWriterOwner {
 public:
-    // Part of a response has been written and more of it follows.
+    // A part of a response has been written, and more of it follows.
     virtual void response_progressed() = 0;
-    // A response has been written and other queries are open: input that waited may be read now.
+    // A response has been written and other queries are open. Input that was waiting may be read now.
     virtual void response_written() = 0;
-    // No query is open any more.
+    // The last open query has its response.
     virtual void all_responses_written() = 0;
-    // The client can tell only by the end of the connection that its response is incomplete.
+    // A response that was written in part will not be completed; only closing the connection tells the
+    // client.
     virtual void response_incomplete() = 0;
     virtual bool client_disconnected() = 0;
 
@@ -31,43 +32,44 @@
 
 class ResponseWriter {
 public:
-    // `connection` may be null where it could not be opened; then nothing but the destructor may be called,
-    // as after the connection is closed. The writer owns neither, nor the context; all outlive its last use.
+    // `connection` is null if it could not be opened. Without a connection, or once it is closed, only the
+    // destructor may be called. `context` and `owner` outlive the writer.
     ResponseWriter(SessionContext& context, ResponseWriterOwner& owner, net::Connection* connection)
         : context_(context), owner_(owner), connection_(connection) {}
     ~ResponseWriter() { discard_all(); }
     ResponseWriter(const ResponseWriter&) = delete;
     ResponseWriter& operator=(const ResponseWriter&) = delete;
 
-    // Hands a request to the dispatcher and opens a query for it.
+    // Submits a request to the dispatcher and opens a query for it.
     void submit(ParsedStatement statement);
-    // Writes `bytes` behind the responses to all open queries.
+    // Writes `bytes` as a response that follows those to all open queries.
     void respond(std::string bytes, int request_class = kUnknownRequestClass);
 
     bool empty() const { return queries_.empty(); }
     std::size_t size() const { return queries_.size(); }
     int last_request_class() const { return queries_.back()->request_class; }
-    // Whether a response is being written in pieces: nothing else may be written meanwhile.
+    // Returns true while a response is being streamed; nothing else may be written then.
     bool is_streaming() const { return !queries_.empty() && queries_.front()->source; }
-    // Lets the source of a streamed response go on, once the client has taken what was written.
+    // Resumes the source of a streamed response, once the kernel has taken what was written.
     void resume_stream() { queries_.front()->source->set_paused(false); }
     Time last_response_at() const { return last_response_at_; }
 
-    // Answers the first query as canceled and cancels its request. It must not be streaming.
+    // Responds to the first query with an error that it was canceled, and cancels its request. Its response
+    // must not be streaming.
     void cancel_first();
-    // Answers all queries at once, those without a response with an error, and cancels their requests.
-    // Nothing is written behind an incomplete response.
+    // Writes all buffered responses, and an error for each query without a response, whose request it
+    // cancels. Writes nothing if the first response is incomplete.
     void fail_all();
-    // Drops all queries without a response and cancels their requests.
+    // Discards all open queries and cancels their requests.
     void discard_all();
 
 private:
     struct Query final : traffic::ResponseSink {
-        Query(ResponseWriter& of, int its_class) : writer(of), request_class(its_class) {}
+        Query(ResponseWriter& owner, int class_index) : writer(owner), request_class(class_index) {}
         void on_value(const traffic::ResultValue& value) override { writer.on_value(*this, value); }
         void on_value_started(const traffic::ResultValue& head, std::size_t size,
-                              traffic::ResponseSource& from) override {
-            writer.on_value_started(*this, head, size, from);
+                              traffic::ResponseSource& value_source) override {
+            writer.on_value_started(*this, head, size, value_source);
         }
         void on_value_chunk(std::string_view bytes) override { writer.on_value_chunk(*this, bytes); }
         void on_value_completed(const std::string& command_tag) override {
@@ -79,11 +81,12 @@
         bool client_disconnected() override { return writer.owner_.client_disconnected(); }
 
         ResponseWriter& writer;
-        traffic::RequestId request = 0;  // 0 once it is answered or cancelled
+        traffic::RequestId request = 0;  // 0 once it has its response or is cancelled
         int request_class;
-        std::string id;                             // the client's name for the request
-        std::string held_response;                  // or the head of one, until those before it are written
-        traffic::ResponseSource* source = nullptr;  // of a response in pieces
+        std::string id;  // of the request, given by the client
+        // The response, or the head of a streamed one, until the responses before it are written.
+        std::string buffered_response;
+        traffic::ResponseSource* source = nullptr;  // of a streamed response
     };
 
     void on_value(Query& query, const traffic::ResultValue& value);
@@ -96,19 +99,20 @@
     void on_failed(Query& query);
 
     bool is_first(const Query& query) const { return queries_.front().get() == &query; }
-    // The query has its response; destroys it where that could be written.
+    // Completes the query's response with `bytes`. Writes it and destroys the query if it is the first one,
+    // otherwise buffers it.
     void complete(Query& query, std::string bytes);
     void continue_with_next();
-    void hold(Query& query, std::string bytes);
-    std::string take_held(Query& query);
-    // Detaches the query from its request, whose number is returned; 0 where it had none any more.
-    traffic::RequestId release(Query& query);
+    void buffer_response(Query& query, std::string bytes);
+    std::string take_buffered_response(Query& query);
+    // Detaches the query from its request. Returns the request's id, or 0 if it was detached before.
+    traffic::RequestId detach_request(Query& query);
     void cancel_request(Query& query);
 
     SessionContext& context_;
     ResponseWriterOwner& owner_;
     net::Connection* connection_;
-    std::deque<std::unique_ptr<Query>> queries_;  // in the order they were asked
+    std::deque<std::unique_ptr<Query>> queries_;  // open queries in the order they were received
     Time last_response_at_ = 0;
 };
 
--- a/src/downstream/sessions/session_context.h
+++ b/src/downstream/sessions/session_context.h
@@ -1,4 +1,4 @@
-// What all client sessions of a listener share. Owned by the listener, which outlives its sessions.
+// The state that all client sessions of a listener share. Owned by the listener, which outlives its sessions.
 #pragma once
 
 #include <limits>
@@ -20,20 +20,21 @@
     net::Loop& loop;
     Deadlines& deadlines;
     traffic::RequestDispatcher& dispatcher;
-    net::ByteAccount& account;                  // bytes held for all clients
-    net::MemoryBudget& large_statement_budget;  // bytes of statements that exceed pgwire::kLargestMessage
-    const net::DescriptorQuota& client_quota;   // descriptors of serving connections
+    net::ByteAccount& account;                  // bytes buffered for all clients
+    net::MemoryBudget& large_statement_budget;  // for statements larger than pgwire::kLargestMessage
+    const net::DescriptorQuota& client_quota;   // descriptors of connections whose requests are served
     net::DescriptorQuota& lingering_quota;      // descriptors of connections in a lingering close
     metrics::RequestMetrics& metrics;
     std::vector<std::string> class_names;
-    // By request class: idempotent reads, which may run beside other such queries of their connection.
+    // By request class: whether it is an idempotent read, which may run concurrently with other such queries
+    // of its connection.
     std::vector<bool> class_may_overlap;
-    bool uses_sessions = false;  // some class reads its own session's writes
+    bool uses_sessions = false;  // some class needs read-your-writes within a session
     CancelKeys cancel_keys{0};
-    bool close_after_response = false;  // the listener stops: sessions close after their next response
-    // The latest end of any lingering close.
+    bool close_after_response = false;  // set during a stop: sessions close after their next response
+    // The time by which any lingering close ends.
     Time linger_deadline = std::numeric_limits<Time>::max();
-    std::unordered_set<std::string> open_request_ids = {};  // of requests without a response
+    std::unordered_set<std::string> open_request_ids = {};  // ids of requests that have no response yet
 };
 
 }  // namespace sloestack::downstream
--- a/src/downstream/sessions/statement_reader.cpp
+++ b/src/downstream/sessions/statement_reader.cpp
@@ -9,7 +9,7 @@
 
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-// FNV-1a, 64 bits; never 0, which stands for no session.
+// Hashes the name of a session to its id with 64-bit FNV-1a. Never returns 0, which means no session.
 std::uint64_t session_id_of(std::string_view name) {
     constexpr std::uint64_t kOffsetBasis = 14695981039346656037u;
     constexpr std::uint64_t kPrime = 1099511628211u;
@@ -36,7 +36,7 @@
     const int request_class = find_class(tags.request_class);
     if (request_class == kUnknownRequestClass)
         return StatementError{Kind::unknown_class, request_class,
-                              "unknown class " + std::string(tags.request_class)};
+                              "unknown request class " + std::string(tags.request_class)};
     if (!context_.dispatcher.knows_replica_group(tags.cluster))
         return StatementError{Kind::unknown_replica_group, request_class};
 
