--- a/src/upstream/connection_pool/attempt_registry.cpp
+++ b/src/upstream/connection_pool/attempt_registry.cpp
@@ -6,7 +6,7 @@
 namespace sloestack::upstream {
 namespace {
 
-constexpr traffic::RequestId kHealthCheckRequestId = 0;  // no request has this number
+constexpr traffic::RequestId kHealthCheckRequestId = 0;  // no request has this id
 constexpr Micros kHealthCheckTimeoutUs = 250'000;
 
 }  // namespace
@@ -42,7 +42,7 @@
 
 void AttemptRegistry::finish(PendingAttempt& pending, decision::Outcome outcome, UpstreamResponse* response) {
     const auto found = pending_.find({pending.attempt.request, pending.attempt.number});
-    if (!SLOESTACK_INVARIANT(found != pending_.end(), "an attempt ends once")) return;
+    if (!SLOESTACK_INVARIANT(found != pending_.end(), "each attempt is finished once")) return;
     const auto owned = std::move(found->second);
     pending_.erase(found);
     if (owned->is_health_check)
--- a/src/upstream/connection_pool/attempt_registry.h
+++ b/src/upstream/connection_pool/attempt_registry.h
@@ -1,5 +1,5 @@
-// The attempts and health checks that are under way, from when the dispatch loop hands them in until their
-// result is reported to it, exactly once each.
+// The pending attempts and health checks: from when the dispatch loop starts them until their result has been
+// reported to it, which happens exactly once for each.
 #pragma once
 
 #include <map>
@@ -15,12 +15,12 @@
 class UpstreamConnection;
 struct EndpointConnections;
 
-// An attempt or a health check: it waits for a connection or for its response.
+// An attempt or a health check that waits for a connection or for its response.
 struct PendingAttempt {
     traffic::Attempt attempt;
     bool is_health_check = false;
     EndpointConnections* endpoint = nullptr;
-    UpstreamConnection* connection = nullptr;  // while its query is out
+    UpstreamConnection* connection = nullptr;  // set while it waits for its response
     Time started_at = 0;
     bool on_reused_connection = false;
     Deadline connect_timeout;
@@ -29,16 +29,17 @@
 
 class AttemptRegistry {
 public:
-    // Both outlive the registry.
+    // `deadlines` and `listener` outlive the registry.
     AttemptRegistry(Deadlines& deadlines, traffic::AttemptListener& listener)
         : deadlines_(deadlines), listener_(listener) {}
 
-    // The references stay valid until the attempt is finished.
+    // The returned references are valid until the attempt or health check is finished.
     PendingAttempt& add(const traffic::Attempt& attempt);
     PendingAttempt& add_health_check(traffic::EndpointId endpoint);
-    // Null where there is no such attempt, or no more.
+    // Returns null if there is no such attempt or it has been finished.
     PendingAttempt* find(traffic::RequestId request, int number) const;
-    // Reports the result and destroys `pending`. `response` may be null; its value is moved out.
+    // Reports the result to the listener and destroys `pending`. `response` may be null; its value is moved
+    // out.
     void finish(PendingAttempt& pending, decision::Outcome outcome, UpstreamResponse* response = nullptr);
 
 private:
--- a/src/upstream/connection_pool/connection_pool.cpp
+++ b/src/upstream/connection_pool/connection_pool.cpp
@@ -8,10 +8,11 @@
 using decision::EndpointListKind;
 using decision::Outcome;
 
-constexpr Micros kIdleTimeoutMarginUs = 1'000'000;  // closed this much before the endpoint would
-// After a response, before the next query: a duplicate or stray bytes right behind a response would be read
-// as the response to that query.
-constexpr Micros kRestBeforeReuseUs = 20'000;
+// Idle connections are closed this long before the endpoint would close them.
+constexpr Micros kIdleTimeoutMarginUs = 1'000'000;
+// The delay between a response and the next query on the same connection. Without it, a duplicate response or
+// stray bytes right behind a response would be read as the response to the next query.
+constexpr Micros kReuseDelayUs = 20'000;
 
 }  // namespace
 
@@ -35,14 +36,14 @@
     for (const auto& listed : endpoints) {
         auto& endpoint = endpoints_[listed.endpoint.endpoint];
         if (!endpoint) endpoint = std::make_unique<EndpointConnections>();
-        const bool has_moved = endpoint->update(listed, settings_.removal_is_advisory);
-        if (!has_moved) continue;
-        close_idle(*endpoint);
+        const bool has_new_address = endpoint->update(listed, settings_.removal_is_advisory);
+        if (!has_new_address) continue;
+        close_idle_connections(*endpoint);
         for (const auto& connection : endpoint->connections)
             connections_.at(connection.get()).is_outdated = true;
     }
     for (auto& [id, endpoint] : endpoints_)
-        if (endpoint->is_draining) expire_waiting(*endpoint);
+        if (endpoint->is_draining) expire_waiting_attempts(*endpoint);
     for (auto it = endpoints_.begin(); it != endpoints_.end();)
         it = it->second->is_unused() ? endpoints_.erase(it) : std::next(it);
 }
@@ -58,9 +59,9 @@
     }
 }
 
-void ConnectionPool::expire_waiting(EndpointConnections& endpoint) {
-    close_idle(endpoint);
-    const auto waiting = std::exchange(endpoint.waiting, {});
+void ConnectionPool::expire_waiting_attempts(EndpointConnections& endpoint) {
+    close_idle_connections(endpoint);
+    const auto waiting = std::exchange(endpoint.waiting_attempts, {});
     for (auto* attempt : waiting) attempts_.finish(*attempt, Outcome::expired);
 }
 
@@ -72,7 +73,7 @@
 }
 
 void ConnectionPool::cancel_attempt(traffic::RequestId request, int number) {
-    if (auto* attempt = attempts_.find(request, number)) give_up(*attempt, Outcome::cancelled);
+    if (auto* attempt = attempts_.find(request, number)) abort_attempt(*attempt, Outcome::cancelled);
 }
 
 void ConnectionPool::start(PendingAttempt& attempt) {
@@ -82,35 +83,37 @@
     attempt.endpoint = found->second.get();
     if (!may_send(attempt)) return attempts_.finish(attempt, Outcome::expired);
     attempt.attempt_timeout.set(deadlines_, attempt.attempt.timeout_at,
-                                [this, &attempt] { give_up(attempt, Outcome::timeout); });
+                                [this, &attempt] { abort_attempt(attempt, Outcome::timeout); });
     attempt.connect_timeout.set(deadlines_, attempt.started_at + settings_.connect_timeout_us,
-                                [this, &attempt] { give_up(attempt, Outcome::connect_failed); });
-    attempt.endpoint->waiting.push_back(&attempt);
-    serve_waiting(*attempt.endpoint);
+                                [this, &attempt] { abort_attempt(attempt, Outcome::connect_failed); });
+    attempt.endpoint->waiting_attempts.push_back(&attempt);
+    serve_waiting_attempts(*attempt.endpoint);
 }
 
-// Gives waiting attempts the idle connections, then has as many connecting as attempts still wait.
-void ConnectionPool::serve_waiting(EndpointConnections& endpoint) {
-    while (!endpoint.waiting.empty() && !endpoint.idle.empty()) {
-        auto& connection = *endpoint.idle.back();
-        if (!connection.is_reusable()) {  // it has closed, but its callback is still outstanding
+// Sends waiting attempts on idle connections, then opens connections until as many are being established as
+// attempts still wait.
+void ConnectionPool::serve_waiting_attempts(EndpointConnections& endpoint) {
+    while (!endpoint.waiting_attempts.empty() && !endpoint.idle_connections.empty()) {
+        auto& connection = *endpoint.idle_connections.back();
+        if (!connection.is_reusable()) {  // closed by the endpoint, not yet reported
             close(connection);
             continue;
         }
-        auto& attempt = *endpoint.waiting.front();
-        endpoint.waiting.pop_front();
-        if (send_on(connection, attempt)) endpoint.idle.pop_back();
+        auto& attempt = *endpoint.waiting_attempts.front();
+        endpoint.waiting_attempts.pop_front();
+        if (send_on(connection, attempt)) endpoint.idle_connections.pop_back();
     }
-    while (endpoint.connecting < endpoint.waiting.size()) {
+    while (endpoint.connecting_count < endpoint.waiting_attempts.size()) {
         if (open_connection(endpoint)) continue;
-        // No descriptor is free, or no socket could be opened: the attempt is not sent at all.
-        auto& attempt = *endpoint.waiting.back();
-        endpoint.waiting.pop_back();
+        // No descriptor is free or no socket could be opened: the attempt is not sent.
+        auto& attempt = *endpoint.waiting_attempts.back();
+        endpoint.waiting_attempts.pop_back();
         attempts_.finish(attempt, Outcome::expired);
     }
 }
 
-// Checked right before an attempt's first byte is written, whether it has waited for a connection or not.
+// Returns whether the attempt may be sent now. Must be checked right before its first byte is written,
+// whether or not it had to wait for a connection.
 bool ConnectionPool::may_send(const PendingAttempt& attempt) {
     if (attempt.endpoint->is_draining) return false;
     const auto& start_by = attempt.attempt.start_by;
@@ -125,7 +128,7 @@
     }
     attempt.connect_timeout.clear();
     attempt.connection = &connection;
-    attempt.on_reused_connection = connection.has_answered_before();
+    attempt.on_reused_connection = connection.has_responded_before();
     connections_.at(&connection).attempt = &attempt;
     connection.timeout.clear();
     if (attempt.is_health_check)
@@ -135,8 +138,9 @@
     return true;
 }
 
-// Stops waiting for a connection, or for a response: the connection it would arrive on is closed.
-void ConnectionPool::give_up(PendingAttempt& attempt, Outcome outcome) {
+// Ends an attempt that waits for a connection or for its response. In the latter case closes the connection,
+// as the response may still arrive on it.
+void ConnectionPool::abort_attempt(PendingAttempt& attempt, Outcome outcome) {
     const bool may_have_executed = attempt.connection && attempt.connection->may_have_executed();
     if (attempt.connection)
         close(*attempt.connection);
@@ -158,7 +162,7 @@
     endpoint.connections.push_back(std::move(opened));
     connections_[&connection] =
         ConnectionState{&endpoint, std::prev(endpoint.connections.end()), nullptr, false};
-    ++endpoint.connecting;
+    ++endpoint.connecting_count;
     connection.timeout.set(deadlines_, deadlines_.now() + settings_.connect_timeout_us, [this, &connection] {
         UpstreamResponse empty;
         on_connection_failed(connection, empty, false);
@@ -171,32 +175,33 @@
     while (quota_.is_exceeded() && has_closed) has_closed = close_one_idle_connection();
 }
 
-// Closes the one idle for longest at the endpoint that has the most idle connections.
+// Closes the connection that has been idle for longest at the endpoint with the most idle connections.
 bool ConnectionPool::close_one_idle_connection() {
     EndpointConnections* most_idle = nullptr;
     for (auto& [id, endpoint] : endpoints_) {
-        if (endpoint->idle.empty()) continue;
-        if (!most_idle || endpoint->idle.size() > most_idle->idle.size()) most_idle = endpoint.get();
+        if (endpoint->idle_connections.empty()) continue;
+        if (!most_idle || endpoint->idle_connections.size() > most_idle->idle_connections.size())
+            most_idle = endpoint.get();
     }
     if (!most_idle) return false;
-    // Destroyed now, not at the end of the iteration: its descriptor is needed at once.
-    const auto* connection = most_idle->idle.front();
+    // Destroyed now rather than at the end of the iteration, because its descriptor is needed at once.
+    const auto* connection = most_idle->idle_connections.front();
     const auto position = connections_.at(connection).position;
-    most_idle->idle.erase(most_idle->idle.begin());
+    most_idle->idle_connections.erase(most_idle->idle_connections.begin());
     connections_.erase(connection);
     most_idle->connections.erase(position);
     return true;
 }
 
-void ConnectionPool::close_idle(EndpointConnections& endpoint) {
-    while (!endpoint.idle.empty()) close(*endpoint.idle.back());
+void ConnectionPool::close_idle_connections(EndpointConnections& endpoint) {
+    while (!endpoint.idle_connections.empty()) close(*endpoint.idle_connections.back());
 }
 
 void ConnectionPool::close(UpstreamConnection& connection) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
     auto& endpoint = *found->second.endpoint;
-    if (!connection.is_established()) --endpoint.connecting;
+    if (!connection.is_established()) --endpoint.connecting_count;
     endpoint.remove_idle(connection);
     auto owned = std::move(*found->second.position);
     endpoint.connections.erase(found->second.position);
@@ -205,28 +210,29 @@
     loop_.delete_later(std::move(owned));
 }
 
-void ConnectionPool::rest_before_reuse(EndpointConnections& endpoint, UpstreamConnection& connection) {
+void ConnectionPool::delay_reuse(EndpointConnections& endpoint, UpstreamConnection& connection) {
     if (!connection.is_reusable()) {
         close(connection);
-        return serve_waiting(endpoint);
+        return serve_waiting_attempts(endpoint);
     }
-    connection.timeout.set(deadlines_, deadlines_.now() + kRestBeforeReuseUs, [this, &connection] {
+    connection.timeout.set(deadlines_, deadlines_.now() + kReuseDelayUs, [this, &connection] {
         make_idle(*connections_.at(&connection).endpoint, connection);
     });
 }
 
 void ConnectionPool::make_idle(EndpointConnections& endpoint, UpstreamConnection& connection) {
-    if ((endpoint.is_draining || quota_.is_exceeded()) && endpoint.waiting.empty()) return close(connection);
+    if ((endpoint.is_draining || quota_.is_exceeded()) && endpoint.waiting_attempts.empty())
+        return close(connection);
     if (connections_.at(&connection).is_outdated) {
         close(connection);
-        return serve_waiting(endpoint);
+        return serve_waiting_attempts(endpoint);
     }
-    endpoint.idle.push_back(&connection);
+    endpoint.idle_connections.push_back(&connection);
     const Micros idle_timeout =
         std::max(settings_.idle_timeout_us - kIdleTimeoutMarginUs, settings_.idle_timeout_us / 2);
     connection.timeout.set(deadlines_, deadlines_.now() + idle_timeout,
                            [this, &connection] { close(connection); });
-    serve_waiting(endpoint);
+    serve_waiting_attempts(endpoint);
 }
 
 }  // namespace sloestack::upstream
--- a/src/upstream/connection_pool/connection_pool.h
+++ b/src/upstream/connection_pool/connection_pool.h
@@ -1,5 +1,6 @@
-// Connections to the endpoints, and the attempts and health checks that travel on them. Turns what happens on
-// sockets into outcomes. Neither the choice of an attempt's endpoint nor the protocol spoken is decided here.
+// The connections to the endpoints and the attempts and health checks sent on them. Turns responses,
+// connection failures and time-outs into outcomes. Does not choose an attempt's endpoint and is independent
+// of the protocol.
 #pragma once
 
 #include <list>
@@ -19,30 +20,30 @@
 namespace sloestack::upstream {
 
 struct ConnectionPoolSettings {
-    ConnectionFactory connect;  // of the protocol that the endpoints speak
+    ConnectionFactory connect;  // for the protocol of the endpoints
     Micros connect_timeout_us = 250'000;
-    Micros idle_timeout_us = 15'000'000;  // of the endpoints; idle connections are closed here before
-    bool removal_is_advisory = false;     // an endpoint that discovery removed may still be sent to
+    Micros idle_timeout_us = 15'000'000;  // of the endpoints; the pool closes idle connections earlier
+    bool removal_is_advisory = false;     // attempts may still be sent to endpoints removed from discovery
 };
 
 class ConnectionPool final : public traffic::AttemptSender, private UpstreamConnectionEvents {
 public:
-    // All references outlive the pool. `quota` is of descriptors.
+    // `quota` limits the descriptors of the pool's connections. All references must outlive the pool.
     ConnectionPool(net::Loop& loop, Deadlines& deadlines, net::DescriptorQuota& quota,
                    ConnectionPoolSettings settings, traffic::AttemptListener& listener,
                    metrics::RequestMetrics& metrics);
     ~ConnectionPool() override;
 
-    // Applies what discovery reports. An attempt that waits for a connection to an endpoint that drains ends
-    // as expired, so that it may be sent elsewhere.
+    // Applies an endpoint list from discovery. Attempts that wait for a connection to a draining endpoint end
+    // with the outcome `expired`, so that they may be sent to another endpoint.
     void update_endpoints(decision::EndpointListKind kind,
                           const std::vector<traffic::ListedEndpoint>& endpoints);
     void send(const traffic::Attempt& attempt) override;
     void cancel_attempt(traffic::RequestId request, int number) override;
     void start_health_check(traffic::EndpointId endpoint) override;
 
-    // Closes idle connections while there are more than the quota allows, as after it has been lowered; busy
-    // ones close after their responses.
+    // Closes idle connections while the quota is exceeded, as after it has been lowered. Busy connections
+    // close after their responses.
     void shrink_to_quota();
     std::size_t connection_count() const { return connections_.size(); }
 
@@ -50,24 +51,24 @@
     struct ConnectionState {
         EndpointConnections* endpoint;
         std::list<std::unique_ptr<UpstreamConnection>>::iterator position;
-        PendingAttempt* attempt;  // whose query it carries
-        bool is_outdated;         // it leads to an address the endpoint no longer has
+        PendingAttempt* attempt;  // waits for its response on this connection; null if there is none
+        bool is_outdated;         // connected to an address that the endpoint no longer has
     };
 
     void remove_unlisted(const std::vector<traffic::ListedEndpoint>& endpoints);
-    void expire_waiting(EndpointConnections& endpoint);
+    void expire_waiting_attempts(EndpointConnections& endpoint);
 
     void start(PendingAttempt& attempt);
-    void serve_waiting(EndpointConnections& endpoint);
+    void serve_waiting_attempts(EndpointConnections& endpoint);
     bool may_send(const PendingAttempt& attempt);
     bool send_on(UpstreamConnection& connection, PendingAttempt& attempt);
-    void give_up(PendingAttempt& attempt, decision::Outcome outcome);
+    void abort_attempt(PendingAttempt& attempt, decision::Outcome outcome);
 
     bool open_connection(EndpointConnections& endpoint);
     bool close_one_idle_connection();
-    void close_idle(EndpointConnections& endpoint);
+    void close_idle_connections(EndpointConnections& endpoint);
     void close(UpstreamConnection& connection);
-    void rest_before_reuse(EndpointConnections& endpoint, UpstreamConnection& connection);
+    void delay_reuse(EndpointConnections& endpoint, UpstreamConnection& connection);
     void make_idle(EndpointConnections& endpoint, UpstreamConnection& connection);
 
     void on_connection_established(UpstreamConnection& connection) override;
--- a/src/upstream/connection_pool/connection_pool_events.cpp
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -1,4 +1,4 @@
-// What the pool does as its connections are established, carry responses and fail.
+// The pool's callbacks for established connections, responses and failures.
 #include "connection_pool/connection_pool.h"
 
 namespace sloestack::upstream {
@@ -6,14 +6,16 @@
 
 using decision::Outcome;
 
-constexpr Micros kResponsePartTimeoutUs = 150'000;  // endpoints write a response in one go
-constexpr Micros kValueChunkTimeoutUs = 5'000'000;  // a streamed value may arrive slowly
+// The longest time between two parts of a response, which endpoints write at once.
+constexpr Micros kResponsePartTimeoutUs = 150'000;
+// The longest time between two chunks of a streamed value, which may arrive slowly.
+constexpr Micros kValueChunkTimeoutUs = 5'000'000;
 
 }  // namespace
 
 void ConnectionPool::on_connection_established(UpstreamConnection& connection) {
     auto& endpoint = *connections_.at(&connection).endpoint;
-    --endpoint.connecting;
+    --endpoint.connecting_count;
     make_idle(endpoint, connection);
 }
 
@@ -22,7 +24,8 @@
     if (attempt && !attempt->is_health_check) metrics_.count_attempt_sent(attempt->attempt.request_class);
 }
 
-// Once its response has begun, an attempt no longer times out: what was written to the client stands.
+// Once its response has started, an attempt no longer times out: the part already written to the client
+// cannot be taken back.
 bool ConnectionPool::on_value_started(UpstreamConnection& connection, const traffic::ResultValue& head,
                                       std::size_t size) {
     auto& attempt = *connections_.at(&connection).attempt;
@@ -32,7 +35,7 @@
         attempt.attempt_timeout.clear();
         return true;
     }
-    give_up(attempt, Outcome::cancelled);
+    abort_attempt(attempt, Outcome::cancelled);
     return false;
 }
 
@@ -41,7 +44,7 @@
 }
 
 void ConnectionPool::on_response_progress(UpstreamConnection& connection) {
-    if (connection.is_paused()) return connection.timeout.clear();  // it waits for the client
+    if (connection.is_paused()) return connection.timeout.clear();  // waits for the client to read
     const Micros timeout = connection.is_streaming() ? kValueChunkTimeoutUs : kResponsePartTimeoutUs;
     connection.timeout.set(deadlines_, deadlines_.now() + timeout,
                            [&connection] { connection.fail_invalid_response(); });
@@ -54,7 +57,7 @@
     attempt->connection = nullptr;
     auto& endpoint = *state.endpoint;
     attempts_.finish(*attempt, *response.outcome, &response);
-    rest_before_reuse(endpoint, connection);
+    delay_reuse(endpoint, connection);
 }
 
 void ConnectionPool::on_connection_failed(UpstreamConnection& connection, UpstreamResponse& response,
@@ -70,11 +73,11 @@
         return attempts_.finish(*state.attempt, may_have_executed ? Outcome::reset : Outcome::connect_failed);
     }
     if (was_established)
-        return serve_waiting(endpoint);  // an attempt that would have reused it needs another
-    // A connection that cannot be established fails one attempt; the others wait for theirs.
-    if (endpoint.waiting.size() <= endpoint.connecting) return;
-    auto& attempt = *endpoint.waiting.front();
-    endpoint.waiting.pop_front();
+        return serve_waiting_attempts(endpoint);  // a waiting attempt may need another connection
+    // A connection that cannot be established fails one attempt; the others wait for the other connections.
+    if (endpoint.waiting_attempts.size() <= endpoint.connecting_count) return;
+    auto& attempt = *endpoint.waiting_attempts.front();
+    endpoint.waiting_attempts.pop_front();
     attempts_.finish(attempt, too_many_connections ? Outcome::overloaded : Outcome::connect_failed);
 }
 
--- a/src/upstream/connection_pool/endpoint_connections.cpp
+++ b/src/upstream/connection_pool/endpoint_connections.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::upstream {
 namespace {
 
-bool is_same(const sockaddr_in& left, const sockaddr_in& right) {
+bool is_same_address(const sockaddr_in& left, const sockaddr_in& right) {
     return left.sin_addr.s_addr == right.sin_addr.s_addr && left.sin_port == right.sin_port;
 }
 
@@ -14,20 +14,22 @@
 bool EndpointConnections::update(const traffic::ListedEndpoint& listed, bool removal_is_advisory) {
     using decision::EndpointState;
     const auto listed_address = net::parse_address(listed.address);
-    const bool has_moved = listed_address && address && !is_same(*listed_address, *address);
+    const bool has_new_address = listed_address && address && !is_same_address(*listed_address, *address);
     if (listed_address) address = listed_address;
     const auto state = listed.endpoint.state;
     is_removed = state == EndpointState::removed;
     is_draining = state == EndpointState::draining || (is_removed && !removal_is_advisory);
-    return has_moved;
+    return has_new_address;
 }
 
 void EndpointConnections::remove_idle(const UpstreamConnection& connection) {
-    idle.erase(std::remove(idle.begin(), idle.end(), &connection), idle.end());
+    idle_connections.erase(std::remove(idle_connections.begin(), idle_connections.end(), &connection),
+                           idle_connections.end());
 }
 
 void EndpointConnections::remove_waiting(const PendingAttempt& attempt) {
-    waiting.erase(std::remove(waiting.begin(), waiting.end(), &attempt), waiting.end());
+    waiting_attempts.erase(std::remove(waiting_attempts.begin(), waiting_attempts.end(), &attempt),
+                           waiting_attempts.end());
 }
 
 }  // namespace sloestack::upstream
--- a/src/upstream/connection_pool/endpoint_connections.h
+++ b/src/upstream/connection_pool/endpoint_connections.h
@@ -1,4 +1,4 @@
-// All connections to one endpoint, and the attempts that wait for one of them.
+// The connections to one endpoint and the attempts that wait for one of them.
 #pragma once
 
 #include <deque>
@@ -15,17 +15,17 @@
 
 struct EndpointConnections {
     std::optional<sockaddr_in> address;
-    bool is_draining = false;  // discovery reports it draining or removed: nothing new is sent there
+    bool is_draining = false;  // draining or removed according to discovery: gets no new attempts
     bool is_removed = false;
     std::list<std::unique_ptr<UpstreamConnection>> connections;
-    std::vector<UpstreamConnection*> idle;  // the one used last at the back
-    std::deque<PendingAttempt*> waiting;    // first come, first served
-    std::size_t connecting = 0;             // connections that are not established yet
+    std::vector<UpstreamConnection*> idle_connections;  // the most recently used at the back
+    std::deque<PendingAttempt*> waiting_attempts;       // in order of arrival
+    std::size_t connecting_count = 0;                   // connections that are not established yet
 
-    // Takes over what discovery lists. Returns whether the address has changed.
+    // Applies the endpoint's entry in a list from discovery. Returns true if the address has changed.
     bool update(const traffic::ListedEndpoint& listed, bool removal_is_advisory);
-    bool is_unused() const { return is_removed && connections.empty() && waiting.empty(); }
-    // Does nothing for one that is not idle, or not waiting.
+    bool is_unused() const { return is_removed && connections.empty() && waiting_attempts.empty(); }
+    // These do nothing if the connection is not idle or the attempt is not waiting.
     void remove_idle(const UpstreamConnection& connection);
     void remove_waiting(const PendingAttempt& attempt);
 };
--- a/src/upstream/connection_pool/load_report.cpp
+++ b/src/upstream/connection_pool/load_report.cpp
@@ -9,13 +9,13 @@
 using decision::ReplicationStatus;
 using decision::Role;
 
-constexpr double kLatestPositionUs = 1e17;  // the year 5138
+constexpr double kMaxPositionUs = 1e17;  // the year 5138
 constexpr double kMicrosPerSecond = 1e6;
 constexpr std::string_view kPositionName = "x0";
 constexpr std::string_view kRoleName = "x1";
 
-// Returns false where the pair cannot be read.
-bool read_pair(std::string_view pair, ReplicationStatus& status) {
+// Returns false if the pair cannot be parsed.
+bool parse_pair(std::string_view pair, ReplicationStatus& status) {
     const auto equals = pair.find('=');
     if (equals == std::string_view::npos) return false;
     const auto name = pair.substr(0, equals);
@@ -39,7 +39,7 @@
 }
 
 std::optional<decision::Time> parse_position(double value, double unit_us) {
-    if (value <= 0 || value * unit_us > kLatestPositionUs) return std::nullopt;
+    if (value <= 0 || value * unit_us > kMaxPositionUs) return std::nullopt;
     return static_cast<decision::Time>(std::llround(value * unit_us));
 }
 
@@ -49,7 +49,7 @@
         const auto comma = text.find(',');
         const auto pair = text.substr(0, comma);
         text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
-        if (!read_pair(pair, status)) return {};
+        if (!parse_pair(pair, status)) return {};
     }
     return status;
 }
--- a/src/upstream/connection_pool/load_report.h
+++ b/src/upstream/connection_pool/load_report.h
@@ -1,6 +1,6 @@
-// Reads load reports, which endpoints of every protocol give in the same form: name=value pairs with commas
-// between them. Pure. Names on the wire: x0 is the replication position in seconds of Unix time, x1 the role
-// (1 primary, 0 replica); others are ignored.
+// Parses load reports, which have the same form in every protocol: name=value pairs separated by commas. The
+// name x0 is the replication position in seconds of Unix time, x1 the role (1 primary, 0 replica); others are
+// ignored. Does no input or output.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 
 namespace sloestack::upstream {
 
-// Empty where any pair cannot be read: the rest of a damaged report is not trusted.
+// Returns an empty status if any pair cannot be parsed: the rest of a damaged report is not trusted.
 decision::ReplicationStatus parse_load_report(std::string_view text);
-// A finite decimal number that takes up all of `text`.
+// Parses a finite decimal number; std::nullopt if `text` is anything else.
 std::optional<double> parse_number(std::string_view text);
-// A replication position, in microseconds of Unix time, from a value in units of `unit_us` microseconds;
-// nothing for 0, which stands for none, and for times that cannot be positions.
+// Converts a replication position from units of `unit_us` microseconds to microseconds of Unix time. Returns
+// std::nullopt for 0, which means that the endpoint has no position, and for values out of range.
 std::optional<decision::Time> parse_position(double value, double unit_us);
 
 }  // namespace sloestack::upstream
--- a/src/upstream/connection_pool/upstream_response.h
+++ b/src/upstream/connection_pool/upstream_response.h
@@ -1,4 +1,4 @@
-// What an endpoint answered to one query, whatever protocol it speaks.
+// An endpoint's response to one query, independent of the protocol.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,11 @@
 namespace sloestack::upstream {
 
 struct UpstreamResponse {
-    // How the query ended; nothing before its end or an error has arrived.
+    // How the query ended; not set until its completion or an error has been received.
     std::optional<decision::Outcome> outcome;
-    decision::ReplicationStatus status;           // of the endpoint as it answered
-    decision::ReplicationStatus reported_status;  // from a load report that came with the response
-    std::optional<traffic::ResultValue> value;    // present where the outcome is ok
+    decision::ReplicationStatus status;           // of the endpoint when it responded
+    decision::ReplicationStatus reported_status;  // from a load report sent with the response
+    std::optional<traffic::ResultValue> value;    // present if the outcome is ok
 };
 
 }  // namespace sloestack::upstream
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -9,13 +9,13 @@
 namespace sloestack::postgres {
 namespace {
 
-// Space for the largest reply that is buffered, and what comes before and after it.
+// Enough for the largest buffered response, including the messages before and after its row.
 constexpr std::size_t kMaxUnreadBytes = pgwire::kLargestMessage + std::size_t{32} * 1024;
 constexpr std::size_t kMaxStartupMessageBytes = std::size_t{8} * 1024;
-constexpr std::size_t kQueryOverheadBytes = 8;  // of the message round a statement, for one allocation
+constexpr std::size_t kQueryOverheadBytes = 8;  // of the message around a statement, to allocate once
 constexpr const char* kHealthCheckQuery = "SHOW load";
 constexpr std::string_view kStartupMessageTypes = "RSKNEZ";
-constexpr std::string_view kInternalError = "XX000";  // stands for a SQLSTATE that is missing
+constexpr std::string_view kInternalError = "XX000";  // used if the SQLSTATE is missing
 
 }  // namespace
 
@@ -35,10 +35,11 @@
 }
 
 bool PostgresConnection::begin_query() {
-    if (!SLOESTACK_INVARIANT(state_ == State::idle, "one query at a time on a link")) return false;
+    if (!SLOESTACK_INVARIANT(state_ == State::idle, "a connection has one query in flight at a time"))
+        return false;
     state_ = State::busy;
-    reply_ = ReplyParser();
-    reply_has_begun_ = false;
+    parser_ = ResponseParser();
+    response_has_started_ = false;
     is_streaming_ = false;
     is_paused_ = false;
     return true;
@@ -60,7 +61,7 @@
     connection_->write(out);
 }
 
-// Written from where it is kept: no copy for each attempt.
+// Writes the statement without copying it for each attempt.
 void PostgresConnection::send_large_statement(const std::shared_ptr<const traffic::Statement>& statement,
                                               Micros time_left) {
     if (!begin_query()) return;
@@ -82,11 +83,12 @@
 // ---- Receiving ----
 void PostgresConnection::received() {
     try {
-        // A callback may break the connection or send its next query, but does not destroy it at once.
+        // A callback may fail the connection or send its next query, but does not destroy this object at
+        // once.
         while (state_ != State::broken && read_next()) {
         }
-        // For a query that has only just been sent no part of a reply has arrived yet.
-        if (state_ == State::busy && (reply_has_begun_ || connection_->unread_bytes() > 0))
+        // The query may have been sent by a callback just now; no part of its response has arrived then.
+        if (state_ == State::busy && (response_has_started_ || connection_->unread_bytes() > 0))
             events_.on_response_progress(*this);
     } catch (const pgwire::BadMessage&) {
         fail_invalid_response();
@@ -109,14 +111,14 @@
     if (state_ == State::starting)
         handle_startup_message(*message);
     else
-        handle_reply_message(*message);
+        handle_response_message(*message);
     return true;
 }
 
-// While idle nothing may come: stray bytes, or a duplicate of the last reply, must not be read as the reply
-// to the next query.
+// While the connection is idle, no message is allowed: stray bytes or a duplicate of the last response must
+// not be read as the response to the next query.
 std::size_t PostgresConnection::max_size_of(char type) const {
-    if (state_ == State::busy) return reply_.max_size_of(type);
+    if (state_ == State::busy) return parser_.max_size_of(type);
     if (state_ != State::starting) return 0;
     const bool is_startup_message = kStartupMessageTypes.find(type) != std::string_view::npos;
     return is_startup_message ? kMaxStartupMessageBytes : 0;
@@ -124,7 +126,7 @@
 
 void PostgresConnection::handle_startup_message(const pgwire::Message& message) {
     if (message.type == 'R' && pgwire::Fields(message.body).int32() != 0)
-        throw pgwire::BadMessage("a member asks for a password");
+        throw pgwire::BadMessage("endpoint requires authentication, which is not supported");
     if (message.type == 'E') {
         startup_error_ =
             pgwire::find_error_field(message.body, pgwire::kSqlstateField).value_or(kInternalError);
@@ -136,27 +138,27 @@
     events_.on_connection_established(*this);
 }
 
-void PostgresConnection::handle_reply_message(const pgwire::Message& message) {
-    reply_has_begun_ = true;
-    const bool is_complete = reply_.read(message);
+void PostgresConnection::handle_response_message(const pgwire::Message& message) {
+    response_has_started_ = true;
+    const bool is_complete = parser_.read(message);
     connection_->consume(message.size);
     if (!is_complete) return;
     state_ = State::idle;
-    has_answered_ = true;
+    has_responded_ = true;
     // The callback may send the next query, which replaces the parser.
-    auto reply = std::move(reply_);
-    events_.on_response(*this, reply.response());
+    auto parser = std::move(parser_);
+    events_.on_response(*this, parser.response());
 }
 
 bool PostgresConnection::begin_stream(std::size_t row_size) {
-    const auto head = connection_->peek(ReplyParser::kRowHeadBytes);
-    if (head.size() < ReplyParser::kRowHeadBytes) return false;
-    const auto value_size = reply_.begin_streamed_row(head, row_size);
-    connection_->consume(ReplyParser::kRowHeadBytes);
-    reply_has_begun_ = true;
+    const auto head = connection_->peek(ResponseParser::kRowHeadBytes);
+    if (head.size() < ResponseParser::kRowHeadBytes) return false;
+    const auto value_size = parser_.begin_streamed_row(head, row_size);
+    connection_->consume(ResponseParser::kRowHeadBytes);
+    response_has_started_ = true;
     is_streaming_ = true;
     value_bytes_left_ = value_size;
-    if (!events_.on_value_started(*this, *reply_.response().value, value_size)) value_bytes_left_ = 0;
+    if (!events_.on_value_started(*this, *parser_.response().value, value_size)) value_bytes_left_ = 0;
     return true;
 }
 
@@ -176,22 +178,23 @@
     if (!paused) received();
 }
 
-// ---- The end ----
+// ---- Closing ----
 void PostgresConnection::fail_invalid_response() {
-    reply_ = ReplyParser();
+    parser_ = ResponseParser();
     fail();
 }
 
 void PostgresConnection::ended(net::ConnectionEnd) {
-    // Amid a message: what came before it is not used either.
+    // A message was cut off: the part of the response before it is not used either.
     if (state_ != State::broken && connection_->unread_bytes() > 0) return fail_invalid_response();
     fail();
 }
 
 void PostgresConnection::fail() {
     if (state_ == State::broken) return;
-    // The state still tells whether a query was out and may have been executed.
-    events_.on_connection_failed(*this, reply_.response(),
+    // The state is changed last, because the callback uses it to find out whether a query was in flight and
+    // may have been executed.
+    events_.on_connection_failed(*this, parser_.response(),
                                  startup_error_ == pgwire::code::kTooManyConnections);
     state_ = State::broken;
 }
--- a/src/upstream/postgres/postgres_connection.h
+++ b/src/upstream/postgres/postgres_connection.h
@@ -1,11 +1,11 @@
-// A connection to an endpoint that speaks version 3 of PostgreSQL's protocol.
+// A connection to an endpoint in version 3 of PostgreSQL's protocol.
 #pragma once
 
 #include <memory>
 #include <string>
 
 #include "connection_pool/upstream_connection.h"
-#include "postgres/reply_parser.h"
+#include "postgres/response_parser.h"
 #include "transport/connection.h"
 #include "transport/descriptor_quota.h"
 
@@ -17,13 +17,13 @@
         std::string user;
         std::string database;
     };
-    // Begins to connect. `slot` is the descriptor's share of its quota; `events` outlives the connection.
+    // Starts to connect. `slot` counts the connection's descriptor; `events` outlives the connection.
     PostgresConnection(net::Loop& loop, const sockaddr_in& address, net::DescriptorSlot slot,
                        const Credentials& credentials, upstream::UpstreamConnectionEvents& events);
 
     bool is_open() const override { return connection_ != nullptr; }
     bool is_established() const override { return state_ == State::idle || state_ == State::busy; }
-    bool has_answered_before() const override { return has_answered_; }
+    bool has_responded_before() const override { return has_responded_; }
     bool is_reusable() const override {
         return state_ == State::idle && connection_->unread_bytes() == 0 &&
                connection_->has_nothing_to_read();
@@ -47,28 +47,31 @@
 private:
     enum class State { connecting, starting, idle, busy, broken };
 
-    // Prepares for the reply to a new query. False, for a fault of the program, where one is out already.
+    // Prepares for the response to a new query. Returns false if a query is already in flight; callers must
+    // not do that.
     bool begin_query();
     void send_text(const std::string& statement);
     void send_large_statement(const std::shared_ptr<const traffic::Statement>& statement, Micros time_left);
+    // Returns the maximum size in bytes, including the length field, of a message of this type that may
+    // arrive now; 0 if none may.
     std::size_t max_size_of(char type) const;
-    // These return whether more input may be read now.
+    // Each returns true if more input may be read now.
     bool read_next();
     bool read_message(std::size_t size);
     bool begin_stream(std::size_t row_size);
     bool read_value_chunk();
     void handle_startup_message(const pgwire::Message& message);
-    void handle_reply_message(const pgwire::Message& message);
+    void handle_response_message(const pgwire::Message& message);
     void fail();
 
     Credentials credentials_;
     upstream::UpstreamConnectionEvents& events_;
     net::DescriptorSlot slot_;
     State state_ = State::connecting;
-    ReplyParser reply_;
-    bool reply_has_begun_ = false;
-    bool has_answered_ = false;
-    std::size_t value_bytes_left_ = 0;  // of the value that is streamed
+    ResponseParser parser_;
+    bool response_has_started_ = false;
+    bool has_responded_ = false;
+    std::size_t value_bytes_left_ = 0;  // of a streamed value
     bool is_streaming_ = false;
     bool is_paused_ = false;
     std::string startup_error_;  // SQLSTATE
--- a/src/upstream/postgres/response_parser.cpp
+++ b/src/upstream/postgres/response_parser.cpp
@@ -1,4 +1,4 @@
-#include "postgres/reply_parser.h"
+#include "postgres/response_parser.h"
 
 #include "connection_pool/load_report.h"
 #include "pgwire/build.h"
@@ -10,14 +10,14 @@
 using decision::Outcome;
 using decision::Role;
 
-constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024;  // of all but rows
+constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024;  // of all messages but DataRow
 constexpr std::size_t kReadyMessageBytes = 5;
 constexpr std::uint32_t kNullSize = 0xffffffff;
 constexpr std::uint16_t kBinaryFormat = 1;
 constexpr double kMicrosPerMillisecond = 1e3;
 
 void expect_end(const pgwire::Fields& fields) {
-    if (!fields.empty()) throw pgwire::BadMessage("a message longer than its fields");
+    if (!fields.empty()) throw pgwire::BadMessage("message has bytes after its last field");
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
     return Outcome::error;
 }
 
-std::size_t ReplyParser::max_size_of(char type) const {
+std::size_t ResponseParser::max_size_of(char type) const {
     const bool has_begun = response_.value || response_.outcome;
     const bool row_may_come = response_.value && !has_row_ && !response_.outcome;
     switch (type) {
@@ -51,7 +51,7 @@
     }
 }
 
-bool ReplyParser::read(const pgwire::Message& message) {
+bool ResponseParser::read(const pgwire::Message& message) {
     switch (message.type) {
         case 'S':
             read_parameter(message.body);
@@ -77,23 +77,25 @@
             read_ready(message.body);
             return true;
         default:
-            throw pgwire::BadMessage("an unknown message from a member");
+            throw pgwire::BadMessage("unknown message type from an endpoint");
     }
 }
 
-std::size_t ReplyParser::begin_streamed_row(std::string_view head, std::size_t size) {
+std::size_t ResponseParser::begin_streamed_row(std::string_view head, std::size_t size) {
     pgwire::Fields fields(head);
     fields.byte();   // type
     fields.int32();  // length, known as `size`
     read_column_count(fields);
     const std::size_t value_size = fields.int32();
-    if (value_size != size - kRowHeadBytes) throw pgwire::BadMessage("a value that does not fill its row");
+    if (value_size != size - kRowHeadBytes)
+        throw pgwire::BadMessage("DataRow: size of the value and of the message do not agree");
     has_row_ = true;
     return value_size;
 }
 
-// Parameters on the wire: `role`; `applied_ms`, the replication position; `load`, a load report.
-void ReplyParser::read_parameter(std::string_view body) {
+// ParameterStatus. The known parameters are `role`; `applied_ms`, the replication position in milliseconds of
+// Unix time; and `load`, a load report.
+void ResponseParser::read_parameter(std::string_view body) {
     pgwire::Fields fields(body);
     const auto name = fields.text();
     const auto value = fields.text();
@@ -109,27 +111,28 @@
     }
 }
 
-void ReplyParser::read_row_description(std::string_view body) {
+void ResponseParser::read_row_description(std::string_view body) {
     pgwire::Fields fields(body);
-    if (fields.int16() != 1) throw pgwire::BadMessage("a row of other than one column");
+    if (fields.int16() != 1) throw pgwire::BadMessage("RowDescription: not exactly one column");
     auto& value = response_.value.emplace();
     value.column = fields.text();
-    fields.int32();  // table
-    fields.int16();  // number of the column in it
+    fields.int32();  // object ID of the table
+    fields.int16();  // attribute number of the column
     value.type = fields.int32();
-    fields.int16();  // size of the type
+    fields.int16();  // size of the data type
     fields.int32();  // type modifier
     const auto format = fields.int16();
-    if (format > kBinaryFormat) throw pgwire::BadMessage("a column of an unknown format");
+    if (format > kBinaryFormat) throw pgwire::BadMessage("RowDescription: unknown format code");
     value.is_binary = format == kBinaryFormat;
     expect_end(fields);
 }
 
-void ReplyParser::read_column_count(pgwire::Fields& fields) const {
-    if (!response_.value || has_row_ || fields.int16() != 1) throw pgwire::BadMessage("a row out of place");
+void ResponseParser::read_column_count(pgwire::Fields& fields) const {
+    if (!response_.value || has_row_ || fields.int16() != 1)
+        throw pgwire::BadMessage("DataRow: unexpected, or not exactly one column");
 }
 
-void ReplyParser::read_row(std::string_view body) {
+void ResponseParser::read_row(std::string_view body) {
     pgwire::Fields fields(body);
     read_column_count(fields);
     const auto size = fields.int32();
@@ -140,8 +143,8 @@
     has_row_ = true;
 }
 
-// A command that completes without a row has not served its query.
-void ReplyParser::read_command_complete(std::string_view body) {
+// A command that completes without a row counts as an error.
+void ResponseParser::read_command_complete(std::string_view body) {
     pgwire::Fields fields(body);
     const auto command_tag = fields.text();
     expect_end(fields);
@@ -149,17 +152,17 @@
     if (!response_.outcome) response_.outcome = has_row_ ? Outcome::ok : Outcome::error;
 }
 
-void ReplyParser::read_error(std::string_view body) {
+void ResponseParser::read_error(std::string_view body) {
     const auto sqlstate = pgwire::find_error_field(body, pgwire::kSqlstateField);
-    if (!sqlstate) throw pgwire::BadMessage("an error without its code");
+    if (!sqlstate) throw pgwire::BadMessage("ErrorResponse has no SQLSTATE");
     response_.outcome = outcome_of_sqlstate(*sqlstate);
 }
 
-void ReplyParser::read_ready(std::string_view body) const {
+void ResponseParser::read_ready(std::string_view body) const {
     constexpr std::uint8_t kOutsideTransaction = 'I';
-    if (!response_.outcome) throw pgwire::BadMessage("ready without an answer");
+    if (!response_.outcome) throw pgwire::BadMessage("ReadyForQuery before the end of a response");
     pgwire::Fields fields(body);
-    if (fields.byte() != kOutsideTransaction) throw pgwire::BadMessage("ready inside a transaction");
+    if (fields.byte() != kOutsideTransaction) throw pgwire::BadMessage("ReadyForQuery inside a transaction");
     expect_end(fields);
 }
 
--- a/src/upstream/postgres/response_parser.h
+++ b/src/upstream/postgres/response_parser.h
@@ -1,5 +1,6 @@
-// Reads what an endpoint answers to one query in version 3 of PostgreSQL's protocol, message by message.
-// Pure. Besides the one row, its status messages tell the endpoint's replication status.
+// Parses an endpoint's response to one query in version 3 of PostgreSQL's protocol, message by message.
+// Besides the row, it reads the endpoint's replication status from ParameterStatus messages. Does no input or
+// output.
 #pragma once
 
 #include <string_view>
@@ -10,19 +11,20 @@
 
 namespace sloestack::postgres {
 
-class ReplyParser {
+class ResponseParser {
 public:
-    // The largest message of a type that may come now, its length field included; 0 where none may.
+    // Returns the maximum size in bytes, including the length field, of a message of this type that may come
+    // next; 0 if none may.
     std::size_t max_size_of(char type) const;
-    // Reads the next message. Returns whether the reply is complete (ReadyForQuery). Throws
-    // pgwire::BadMessage.
+    // Reads the next message. Returns true if the response is complete (ReadyForQuery). Throws
+    // pgwire::BadMessage if the message is invalid.
     bool read(const pgwire::Message& message);
-    // Reads the head of a row, the first kRowHeadBytes of a message of `size` bytes, whose value is not
-    // buffered. Returns the size of the value. Throws pgwire::BadMessage.
+    // Reads the head of a DataRow message whose value is not buffered: the first kRowHeadBytes of a message
+    // of `size` bytes. Returns the size of the value. Throws pgwire::BadMessage if the head is invalid.
     std::size_t begin_streamed_row(std::string_view head, std::size_t size);
-    static constexpr std::size_t kRowHeadBytes = 1 + 4 + 2 + 4;  // type, length, count of columns, size
+    static constexpr std::size_t kRowHeadBytes = 1 + 4 + 2 + 4;  // type, length, column count, value size
 
-    // What has been read so far.
+    // Returns what has been read so far.
     upstream::UpstreamResponse& response() { return response_; }
 
 private:
@@ -32,13 +34,15 @@
     void read_command_complete(std::string_view body);
     void read_error(std::string_view body);
     void read_ready(std::string_view body) const;
-    // Reads the count of columns of a row. Throws where no row may come or it has other than one column.
+    // Reads the column count of a DataRow message. Throws if no row may come or it has not exactly one
+    // column.
     void read_column_count(pgwire::Fields& fields) const;
 
     upstream::UpstreamResponse response_;
     bool has_row_ = false;
 };
 
+// Returns the outcome of a query that ended with an ErrorResponse of this SQLSTATE.
 decision::Outcome outcome_of_sqlstate(std::string_view sqlstate);
 
 }  // namespace sloestack::postgres
