--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -1,6 +1,6 @@
 // Splits a client's input into messages and determines when the last byte of each arrived. Statements larger
-// than pgwire::kLargestMessage are collected outside the connection's buffer, within a memory budget that all
-// clients share.
+// than pgwire::kMaxBufferedMessageBytes are collected outside the connection's buffer, within a memory budget
+// that all clients share.
 #pragma once
 
 #include <memory>
@@ -17,8 +17,8 @@
 
 // Limits of a connection's unread input: before the start-up packet is read; between requests, for one whole
 // message or a part of a large one; and while a request is open.
-constexpr std::size_t kMaxUnreadStartupBytes = pgwire::kLargestStartup + 1024;
-constexpr std::size_t kMaxUnreadBytes = pgwire::kLargestMessage + 1024;
+constexpr std::size_t kMaxUnreadStartupBytes = pgwire::kMaxStartupPacketBytes + 1024;
+constexpr std::size_t kMaxUnreadBytes = pgwire::kMaxBufferedMessageBytes + 1024;
 constexpr std::size_t kMaxUnreadBehindRequestBytes = std::size_t{8} * 1024;
 
 struct LargeStatement {
@@ -26,7 +26,7 @@
     std::shared_ptr<void> memory;  // its reservation of the memory budget
 };
 
-// Functions that parse the input throw pgwire::BadMessage if it is not a message that a client may send.
+// Functions that parse the input throw pgwire::ProtocolError if it is not a message that a client may send.
 class ClientFramer {
 public:
     // `connection` is null if it could not be opened; then only the destructor may be called. The destructor
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -5,7 +5,7 @@
 namespace sloestack::downstream {
 namespace {
 
-constexpr std::size_t kMaxUnwrittenBytes = pgwire::kLargestMessage;  // beyond it no input is read
+constexpr std::size_t kMaxUnwrittenBytes = pgwire::kMaxBufferedMessageBytes;  // beyond it no input is read
 // Unread bytes that a session may keep buffered while the sessions together exceed their limit.
 constexpr std::size_t kUnreadBytesUnderPressure = std::size_t{16} * 1024;
 constexpr int kMaxMessagesPerIteration = 16;  // so that no client monopolises the event loop
@@ -82,7 +82,7 @@
         while (messages_left > 0 && read_message()) --messages_left;
         if (messages_left == 0)
             resume_reading_.set(context_.deadlines, context_.deadlines.now(), [this] { read_messages(); });
-    } catch (const pgwire::BadMessage& error) {
+    } catch (const pgwire::ProtocolError& error) {
         if (!is_ending()) fail_session(pgwire::code::kProtocolViolation, error.what());
     }
     is_reading_ = false;
@@ -138,7 +138,7 @@
     message_arrived_at_ = framer_.large_statement_arrival();
     auto& text = statement->text;
     if (text.find('\0') != text.size() - 1)
-        throw pgwire::BadMessage("Query message does not end with its only zero byte");
+        throw pgwire::ProtocolError("Query message does not end with its only zero byte");
     text.pop_back();
     if (skip_to_sync_) return true;
     handle_query(std::move(text), std::move(statement->memory));
@@ -154,7 +154,7 @@
     try {
         const auto text = framer_.peek_query(kMaxUnreadBehindRequestBytes);
         return text && statements_.may_overlap(statements_.request_class_of(*text));
-    } catch (const pgwire::BadMessage&) {
+    } catch (const pgwire::ProtocolError&) {
         return false;
     }
 }
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -13,8 +13,8 @@
 
 void ClientSession::handle_startup(std::string_view body) {
     const auto startup = pgwire::read_startup(body);
-    if (startup.kind == pgwire::Startup::encryption) return responses_.respond("N");
-    if (startup.kind == pgwire::Startup::cancel) {
+    if (startup.kind == pgwire::StartupKind::encryption) return responses_.respond("N");
+    if (startup.kind == pgwire::StartupKind::cancel) {
         // As in PostgreSQL, a CancelRequest gets no response here; the canceled query does, in its own
         // session.
         auto* session = context_.cancel_keys.find({startup.process, startup.secret});
@@ -30,10 +30,10 @@
     if (skip_to_sync_ && message.type != 'S' && message.type != 'X') return;
     switch (message.type) {
         case 'Q': {
-            pgwire::Fields fields(message.body);
+            pgwire::FieldReader fields(message.body);
             const auto text = fields.text();
             if (!fields.empty())
-                throw pgwire::BadMessage("Query message has bytes after its terminating zero byte");
+                throw pgwire::ProtocolError("Query message has bytes after its terminating zero byte");
             return handle_query(std::string(text));
         }
         case 'X':
@@ -52,7 +52,7 @@
             skip_to_sync_ = message.type != 'F';
             return responses_.respond(unsupported_message_response(message.type));
         default:
-            throw pgwire::BadMessage("unknown message type");
+            throw pgwire::ProtocolError("unknown message type");
     }
 }
 
--- a/src/upstream/postgres/response_parser.cpp
+++ b/src/upstream/postgres/response_parser.cpp
@@ -16,8 +16,8 @@
 constexpr std::uint16_t kBinaryFormat = 1;
 constexpr double kMicrosPerMillisecond = 1e3;
 
-void expect_end(const pgwire::Fields& fields) {
-    if (!fields.empty()) throw pgwire::BadMessage("message has bytes after its last field");
+void expect_end(const pgwire::FieldReader& fields) {
+    if (!fields.empty()) throw pgwire::ProtocolError("message has bytes after its last field");
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
         case 'I':
             return has_begun ? 0 : kMaxMessageBytes;
         case 'D':
-            return row_may_come ? pgwire::kLargestValue + kRowHeadBytes - 1 : 0;
+            return row_may_come ? pgwire::kMaxValueBytes + kRowHeadBytes - 1 : 0;
         case 'C':
         case 'E':
             return response_.outcome ? 0 : kMaxMessageBytes;
@@ -77,18 +77,18 @@
             read_ready(message.body);
             return true;
         default:
-            throw pgwire::BadMessage("unknown message type from an endpoint");
+            throw pgwire::ProtocolError("unknown message type from an endpoint");
     }
 }
 
 std::size_t ResponseParser::begin_streamed_row(std::string_view head, std::size_t size) {
-    pgwire::Fields fields(head);
+    pgwire::FieldReader fields(head);
     fields.byte();   // type
     fields.int32();  // length, known as `size`
     read_column_count(fields);
     const std::size_t value_size = fields.int32();
     if (value_size != size - kRowHeadBytes)
-        throw pgwire::BadMessage("DataRow: size of the value and of the message do not agree");
+        throw pgwire::ProtocolError("DataRow: size of the value and of the message do not agree");
     has_row_ = true;
     return value_size;
 }
@@ -96,7 +96,7 @@
 // ParameterStatus. The known parameters are `role`; `applied_ms`, the replication position in milliseconds of
 // Unix time; and `load`, a load report.
 void ResponseParser::read_parameter(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     const auto name = fields.text();
     const auto value = fields.text();
     expect_end(fields);
@@ -112,8 +112,8 @@
 }
 
 void ResponseParser::read_row_description(std::string_view body) {
-    pgwire::Fields fields(body);
-    if (fields.int16() != 1) throw pgwire::BadMessage("RowDescription: not exactly one column");
+    pgwire::FieldReader fields(body);
+    if (fields.int16() != 1) throw pgwire::ProtocolError("RowDescription: not exactly one column");
     auto& value = response_.value.emplace();
     value.column = fields.text();
     fields.int32();  // object ID of the table
@@ -122,18 +122,18 @@
     fields.int16();  // size of the data type
     fields.int32();  // type modifier
     const auto format = fields.int16();
-    if (format > kBinaryFormat) throw pgwire::BadMessage("RowDescription: unknown format code");
+    if (format > kBinaryFormat) throw pgwire::ProtocolError("RowDescription: unknown format code");
     value.is_binary = format == kBinaryFormat;
     expect_end(fields);
 }
 
-void ResponseParser::read_column_count(pgwire::Fields& fields) const {
+void ResponseParser::read_column_count(pgwire::FieldReader& fields) const {
     if (!response_.value || has_row_ || fields.int16() != 1)
-        throw pgwire::BadMessage("DataRow: unexpected, or not exactly one column");
+        throw pgwire::ProtocolError("DataRow: unexpected, or not exactly one column");
 }
 
 void ResponseParser::read_row(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     read_column_count(fields);
     const auto size = fields.int32();
     auto& value = *response_.value;
@@ -145,7 +145,7 @@
 
 // A command that completes without a row counts as an error.
 void ResponseParser::read_command_complete(std::string_view body) {
-    pgwire::Fields fields(body);
+    pgwire::FieldReader fields(body);
     const auto command_tag = fields.text();
     expect_end(fields);
     if (response_.value) response_.value->command_tag = command_tag;
@@ -154,15 +154,16 @@
 
 void ResponseParser::read_error(std::string_view body) {
     const auto sqlstate = pgwire::find_error_field(body, pgwire::kSqlstateField);
-    if (!sqlstate) throw pgwire::BadMessage("ErrorResponse has no SQLSTATE");
+    if (!sqlstate) throw pgwire::ProtocolError("ErrorResponse has no SQLSTATE");
     response_.outcome = outcome_of_sqlstate(*sqlstate);
 }
 
 void ResponseParser::read_ready(std::string_view body) const {
     constexpr std::uint8_t kOutsideTransaction = 'I';
-    if (!response_.outcome) throw pgwire::BadMessage("ReadyForQuery before the end of a response");
-    pgwire::Fields fields(body);
-    if (fields.byte() != kOutsideTransaction) throw pgwire::BadMessage("ReadyForQuery inside a transaction");
+    if (!response_.outcome) throw pgwire::ProtocolError("ReadyForQuery before the end of a response");
+    pgwire::FieldReader fields(body);
+    if (fields.byte() != kOutsideTransaction)
+        throw pgwire::ProtocolError("ReadyForQuery inside a transaction");
     expect_end(fields);
 }
 
--- a/src/upstream/postgres/response_parser.h
+++ b/src/upstream/postgres/response_parser.h
@@ -17,10 +17,10 @@
     // next; 0 if none may.
     std::size_t max_size_of(char type) const;
     // Reads the next message. Returns true if the response is complete (ReadyForQuery). Throws
-    // pgwire::BadMessage if the message is invalid.
+    // pgwire::ProtocolError if the message is invalid.
     bool read(const pgwire::Message& message);
     // Reads the head of a DataRow message whose value is not buffered: the first kRowHeadBytes of a message
-    // of `size` bytes. Returns the size of the value. Throws pgwire::BadMessage if the head is invalid.
+    // of `size` bytes. Returns the size of the value. Throws pgwire::ProtocolError if the head is invalid.
     std::size_t begin_streamed_row(std::string_view head, std::size_t size);
     static constexpr std::size_t kRowHeadBytes = 1 + 4 + 2 + 4;  // type, length, column count, value size
 
@@ -36,7 +36,7 @@
     void read_ready(std::string_view body) const;
     // Reads the column count of a DataRow message. Throws if no row may come or it has not exactly one
     // column.
-    void read_column_count(pgwire::Fields& fields) const;
+    void read_column_count(pgwire::FieldReader& fields) const;
 
     upstream::UpstreamResponse response_;
     bool has_row_ = false;
--- a/tests/upstream/postgres_response_test.cpp
+++ b/tests/upstream/postgres_response_test.cpp
@@ -44,11 +44,11 @@
     pgwire::Builder(bytes)
         .row_description("data", 17, true)
         .data_row("v")
-        .complete("SELECT 1")
-        .parameter("role", "primary")
-        .parameter("applied_ms", "1767225600123")
-        .parameter("load", "x0=1767225600.5,x1=0,active=7")
-        .ready();
+        .command_complete("SELECT 1")
+        .parameter_status("role", "primary")
+        .parameter_status("applied_ms", "1767225600123")
+        .parameter_status("load", "x0=1767225600.5,x1=0,active=7")
+        .ready_for_query();
     auto parser = parse(bytes, is_complete);
     ASSERT_TRUE(is_complete && parser.response().outcome == Outcome::ok &&
                 parser.response().value->bytes == "v" && parser.response().value->type == 17);
@@ -77,7 +77,7 @@
                                         {"XX000", Outcome::error},
                                         {"08P01", Outcome::error}}) {
         bytes.clear();
-        pgwire::Builder(bytes).error("ERROR", code, "x").ready();
+        pgwire::Builder(bytes).error_response("ERROR", code, "x").ready_for_query();
         ASSERT_TRUE(parse(bytes, is_complete).response().outcome == outcome && is_complete);
     }
 }
@@ -87,14 +87,14 @@
     bool is_complete = false;
     // Guards against reporting a value that no endpoint sent, for a command that completes without a row.
     bytes.clear();
-    pgwire::Builder(bytes).complete("SELECT 0").ready();
+    pgwire::Builder(bytes).command_complete("SELECT 0").ready_for_query();
     ASSERT_TRUE(parse(bytes, is_complete).response().outcome == Outcome::error);
     bytes.clear();
     pgwire::Builder(bytes).row_description("data", 17, true).data_row("v");
     ASSERT_TRUE(!parse(bytes, is_complete).response().outcome && !is_complete);
     bytes.clear();
-    pgwire::Builder(bytes).ready();
-    ASSERT_THROW(static_cast<void>(parse(bytes, is_complete)), pgwire::BadMessage);
+    pgwire::Builder(bytes).ready_for_query();
+    ASSERT_THROW(static_cast<void>(parse(bytes, is_complete)), pgwire::ProtocolError);
 }
 
 TEST(PostgresResponse, RejectsInvalidTypeOrLengthBeforeWholeMessageArrives) {
@@ -108,7 +108,7 @@
           row_description_and("D\0\0\0\xb\0\1\xff\xff\xff\xffv", 12),
           row_description_and("D\0\0\0\xb\0\1\0\0\0\1vD", 13),
           row_description_and("C\0\0\0\6a\0Z\0\0\0\5x", 13)})
-        ASSERT_THROW(static_cast<void>(parse(bytes, is_complete)), pgwire::BadMessage);
+        ASSERT_THROW(static_cast<void>(parse(bytes, is_complete)), pgwire::ProtocolError);
 }
 
 TEST(PostgresResponse, ChecksLengthsInHeadOfStreamedRow) {
@@ -120,12 +120,12 @@
     };
     ASSERT_TRUE(value_size_of(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa0", 11), 100'011) == 100'000);
     ASSERT_THROW(static_cast<void>(value_size_of(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa1", 11), 100'011)),
-                 pgwire::BadMessage);
+                 pgwire::ProtocolError);
     ASSERT_THROW(static_cast<void>(value_size_of(std::string("D\0\1\x86\xaa\0\2\0\1\x86\xa0", 11), 100'011)),
-                 pgwire::BadMessage);
+                 pgwire::ProtocolError);
     ASSERT_THROW(
         static_cast<void>(value_size_of(std::string("D\0\1\x86\xaa\0\1\xff\xff\xff\xff", 11), 100'011)),
-        pgwire::BadMessage);
+        pgwire::ProtocolError);
 }
 
 TEST(PostgresResponse, SurvivesRandomMessages) {
@@ -134,7 +134,7 @@
         const auto body = random_bytes(random, random() % 40);
         try {
             postgres::ResponseParser().read({"STDCEINZR"[random() % 9], body, body.size()});
-        } catch (const pgwire::BadMessage&) {
+        } catch (const pgwire::ProtocolError&) {
         }
     }
 }
