--- a/src/downstream/sessions/disconnect_detector.cpp
+++ b/src/downstream/sessions/disconnect_detector.cpp
@@ -34,8 +34,8 @@
 
 void DisconnectDetector::check() {
     if (!connection_->is_error_free()) return owner_.on_client_disconnected();
-    const bool cannot_read_fin = owner_.input_has_ended() || owner_.input_is_paused();
-    if (owner_.waits_for_response() && cannot_read_fin) schedule_check(kCheckIntervalUs);
+    const bool cannot_detect_by_reading = owner_.input_has_ended() || owner_.input_is_paused();
+    if (owner_.waits_for_response() && cannot_detect_by_reading) schedule_check(kCheckIntervalUs);
 }
 
 }  // namespace sloestack::downstream
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -68,9 +68,9 @@
     const std::string_view text = statement->text;
     const auto digits = traffic::Statement::format_time_left(time_left);
     const auto digits_end = statement->time_left_offset + statement->time_left_size;
-    std::string head;
-    pgwire::Builder(head).query_header(text.size() - statement->time_left_size + digits.size());
-    connection_->write(head);
+    std::string header;
+    pgwire::Builder(header).query_header(text.size() - statement->time_left_size + digits.size());
+    connection_->write(header);
     connection_->write(text.substr(0, statement->time_left_offset), statement);
     connection_->write(digits);
     connection_->write(std::string(text.substr(digits_end)) + '\0');
@@ -151,10 +151,10 @@
 }
 
 bool PostgresConnection::begin_stream(std::size_t row_size) {
-    const auto head = connection_->peek(ResponseParser::kRowHeadBytes);
-    if (head.size() < ResponseParser::kRowHeadBytes) return false;
-    const auto value_size = parser_.begin_streamed_row(head, row_size);
-    connection_->consume(ResponseParser::kRowHeadBytes);
+    const auto header = connection_->peek(ResponseParser::kRowHeaderBytes);
+    if (header.size() < ResponseParser::kRowHeaderBytes) return false;
+    const auto value_size = parser_.begin_streamed_row(header, row_size);
+    connection_->consume(ResponseParser::kRowHeaderBytes);
     response_has_started_ = true;
     is_streaming_ = true;
     value_bytes_left_ = value_size;
--- a/src/upstream/postgres/response_parser.cpp
+++ b/src/upstream/postgres/response_parser.cpp
@@ -40,7 +40,7 @@
         case 'I':
             return has_begun ? 0 : kMaxMessageBytes;
         case 'D':
-            return row_may_come ? pgwire::kMaxValueBytes + kRowHeadBytes - 1 : 0;
+            return row_may_come ? pgwire::kMaxValueBytes + kRowHeaderBytes - 1 : 0;
         case 'C':
         case 'E':
             return response_.outcome ? 0 : kMaxMessageBytes;
@@ -81,13 +81,13 @@
     }
 }
 
-std::size_t ResponseParser::begin_streamed_row(std::string_view head, std::size_t size) {
-    pgwire::FieldReader fields(head);
+std::size_t ResponseParser::begin_streamed_row(std::string_view header, std::size_t size) {
+    pgwire::FieldReader fields(header);
     fields.byte();   // type
     fields.int32();  // length, known as `size`
     read_column_count(fields);
     const std::size_t value_size = fields.int32();
-    if (value_size != size - kRowHeadBytes)
+    if (value_size != size - kRowHeaderBytes)
         throw pgwire::ProtocolError("DataRow: size of the value and of the message do not agree");
     has_row_ = true;
     return value_size;
--- a/src/upstream/postgres/response_parser.h
+++ b/src/upstream/postgres/response_parser.h
@@ -19,10 +19,11 @@
     // Reads the next message. Returns true if the response is complete (ReadyForQuery). Throws
     // pgwire::ProtocolError if the message is invalid.
     bool read(const pgwire::Message& message);
-    // Reads the head of a DataRow message whose value is not buffered: the first kRowHeadBytes of a message
-    // of `size` bytes. Returns the size of the value. Throws pgwire::ProtocolError if the head is invalid.
-    std::size_t begin_streamed_row(std::string_view head, std::size_t size);
-    static constexpr std::size_t kRowHeadBytes = 1 + 4 + 2 + 4;  // type, length, column count, value size
+    // Reads the header of a DataRow message whose value is not buffered: the first kRowHeaderBytes of a
+    // message of `size` bytes. Returns the size of the value. Throws pgwire::ProtocolError if the header is
+    // invalid.
+    std::size_t begin_streamed_row(std::string_view header, std::size_t size);
+    static constexpr std::size_t kRowHeaderBytes = 1 + 4 + 2 + 4;  // type, length, column count, value size
 
     // Returns what has been read so far.
     upstream::UpstreamResponse& response() { return response_; }
--- a/tests/upstream/postgres_response_test.cpp
+++ b/tests/upstream/postgres_response_test.cpp
@@ -111,12 +111,12 @@
         ASSERT_THROW(static_cast<void>(parse(bytes, is_complete)), pgwire::ProtocolError);
 }
 
-TEST(PostgresResponse, ChecksLengthsInHeadOfStreamedRow) {
+TEST(PostgresResponse, ChecksLengthsInHeaderOfStreamedRow) {
     bool is_complete = false;
     // The lengths of the message and of its value must agree.
-    const auto value_size_of = [&](const std::string& head, std::size_t size) {
+    const auto value_size_of = [&](const std::string& header, std::size_t size) {
         auto parser = parse(row_description_and("", 0), is_complete);
-        return parser.begin_streamed_row(head, size);
+        return parser.begin_streamed_row(header, size);
     };
     ASSERT_TRUE(value_size_of(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa0", 11), 100'011) == 100'000);
     ASSERT_THROW(static_cast<void>(value_size_of(std::string("D\0\1\x86\xaa\0\1\0\1\x86\xa1", 11), 100'011)),
