--- a/src/upstream/postgres/reply_parser.cpp
+++ b/src/upstream/postgres/response_parser.cpp
@@ -1,4 +1,4 @@
-#include "postgres/reply_parser.h"
+#include "postgres/response_parser.h"
 
 #include "connection_pool/load_report.h"
 #include "pgwire/build.h"
@@ -10,14 +10,14 @@
 using decision::Outcome;
 using decision::Role;
 
-constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024;  // of all but rows
+constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024;  // of all messages but DataRow
 constexpr std::size_t kReadyMessageBytes = 5;
 constexpr std::uint32_t kNullSize = 0xffffffff;
 constexpr std::uint16_t kBinaryFormat = 1;
 constexpr double kMicrosPerMillisecond = 1e3;
 
 void expect_end(const pgwire::FieldReader& fields) {
-    if (!fields.empty()) throw pgwire::ProtocolError("a message longer than its fields");
+    if (!fields.empty()) throw pgwire::ProtocolError("message has bytes after its last field");
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
     return Outcome::error;
 }
 
-std::size_t ReplyParser::max_size_of(char type) const {
+std::size_t ResponseParser::max_size_of(char type) const {
     const bool has_begun = response_.value || response_.outcome;
     const bool row_may_come = response_.value && !has_row_ && !response_.outcome;
     switch (type) {
@@ -40,7 +40,7 @@
         case 'I':
             return has_begun ? 0 : kMaxMessageBytes;
         case 'D':
-            return row_may_come ? pgwire::kMaxValueBytes + kRowHeadBytes - 1 : 0;
+            return row_may_come ? pgwire::kMaxValueBytes + kRowHeaderBytes - 1 : 0;
         case 'C':
         case 'E':
             return response_.outcome ? 0 : kMaxMessageBytes;
@@ -51,7 +51,7 @@
     }
 }
 
-bool ReplyParser::read(const pgwire::Message& message) {
+bool ResponseParser::read(const pgwire::Message& message) {
     switch (message.type) {
         case 'S':
             read_parameter(message.body);
@@ -77,23 +77,25 @@
             read_ready(message.body);
             return true;
         default:
-            throw pgwire::ProtocolError("an unknown message from a member");
+            throw pgwire::ProtocolError("unknown message type from an endpoint");
     }
 }
 
-std::size_t ReplyParser::begin_streamed_row(std::string_view head, std::size_t size) {
-    pgwire::FieldReader fields(head);
+std::size_t ResponseParser::begin_streamed_row(std::string_view header, std::size_t size) {
+    pgwire::FieldReader fields(header);
     fields.byte();   // type
     fields.int32();  // length, known as `size`
     read_column_count(fields);
     const std::size_t value_size = fields.int32();
-    if (value_size != size - kRowHeadBytes) throw pgwire::ProtocolError("a value that does not fill its row");
+    if (value_size != size - kRowHeaderBytes)
+        throw pgwire::ProtocolError("DataRow: size of the value and of the message do not agree");
     has_row_ = true;
     return value_size;
 }
 
-// Parameters on the wire: `role`; `applied_ms`, the replication position; `load`, a load report.
-void ReplyParser::read_parameter(std::string_view body) {
+// ParameterStatus. The known parameters are `role`; `applied_ms`, the replication position in milliseconds of
+// Unix time; and `load`, a load report.
+void ResponseParser::read_parameter(std::string_view body) {
     pgwire::FieldReader fields(body);
     const auto name = fields.text();
     const auto value = fields.text();
@@ -109,28 +111,28 @@
     }
 }
 
-void ReplyParser::read_row_description(std::string_view body) {
+void ResponseParser::read_row_description(std::string_view body) {
     pgwire::FieldReader fields(body);
-    if (fields.int16() != 1) throw pgwire::ProtocolError("a row of other than one column");
+    if (fields.int16() != 1) throw pgwire::ProtocolError("RowDescription: not exactly one column");
     auto& value = response_.value.emplace();
     value.column = fields.text();
-    fields.int32();  // table
-    fields.int16();  // number of the column in it
+    fields.int32();  // object ID of the table
+    fields.int16();  // attribute number of the column
     value.type = fields.int32();
-    fields.int16();  // size of the type
+    fields.int16();  // size of the data type
     fields.int32();  // type modifier
     const auto format = fields.int16();
-    if (format > kBinaryFormat) throw pgwire::ProtocolError("a column of an unknown format");
+    if (format > kBinaryFormat) throw pgwire::ProtocolError("RowDescription: unknown format code");
     value.is_binary = format == kBinaryFormat;
     expect_end(fields);
 }
 
-void ReplyParser::read_column_count(pgwire::FieldReader& fields) const {
+void ResponseParser::read_column_count(pgwire::FieldReader& fields) const {
     if (!response_.value || has_row_ || fields.int16() != 1)
-        throw pgwire::ProtocolError("a row out of place");
+        throw pgwire::ProtocolError("DataRow: unexpected, or not exactly one column");
 }
 
-void ReplyParser::read_row(std::string_view body) {
+void ResponseParser::read_row(std::string_view body) {
     pgwire::FieldReader fields(body);
     read_column_count(fields);
     const auto size = fields.int32();
@@ -141,8 +143,8 @@
     has_row_ = true;
 }
 
-// A command that completes without a row has not served its query.
-void ReplyParser::read_command_complete(std::string_view body) {
+// A command that completes without a row counts as an error.
+void ResponseParser::read_command_complete(std::string_view body) {
     pgwire::FieldReader fields(body);
     const auto command_tag = fields.text();
     expect_end(fields);
@@ -150,17 +152,18 @@
     if (!response_.outcome) response_.outcome = has_row_ ? Outcome::ok : Outcome::error;
 }
 
-void ReplyParser::read_error(std::string_view body) {
+void ResponseParser::read_error(std::string_view body) {
     const auto sqlstate = pgwire::find_error_field(body, pgwire::kSqlstateField);
-    if (!sqlstate) throw pgwire::ProtocolError("an error without its code");
+    if (!sqlstate) throw pgwire::ProtocolError("ErrorResponse has no SQLSTATE");
     response_.outcome = outcome_of_sqlstate(*sqlstate);
 }
 
-void ReplyParser::read_ready(std::string_view body) const {
+void ResponseParser::read_ready(std::string_view body) const {
     constexpr std::uint8_t kOutsideTransaction = 'I';
-    if (!response_.outcome) throw pgwire::ProtocolError("ready without an answer");
+    if (!response_.outcome) throw pgwire::ProtocolError("ReadyForQuery before the end of a response");
     pgwire::FieldReader fields(body);
-    if (fields.byte() != kOutsideTransaction) throw pgwire::ProtocolError("ready inside a transaction");
+    if (fields.byte() != kOutsideTransaction)
+        throw pgwire::ProtocolError("ReadyForQuery inside a transaction");
     expect_end(fields);
 }
 
