--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -1,17 +1,16 @@
 # shellcheck shell=bash
-# Sourced by the other scripts: installs those Debian packages that are missing. A word is PACKAGE:FILE, the file by
-# which it is known to be there.
+# Sourced by the other scripts. install_missing PACKAGE:FILE...: installs the Debian packages whose FILE does not exist.
 install_missing() {
-    local missing=() want
-    for want in "$@"; do
-        [ -e "${want#*:}" ] || missing+=("${want%%:*}")
+    local missing=() package
+    for package in "$@"; do
+        [ -e "${package#*:}" ] || missing+=("${package%%:*}")
     done
     [ ${#missing[@]} -gt 0 ] || return 0
-    local as=()
-    [ "$(id -u)" = 0 ] || as=(sudo)
+    local as_root=()
+    [ "$(id -u)" = 0 ] || as_root=(sudo)
     echo "installing ${missing[*]}"
-    "${as[@]}" apt-get update -qq
-    "${as[@]}" env DEBIAN_FRONTEND=noninteractive apt-get install -y -qq "${missing[@]}" >/dev/null
+    "${as_root[@]}" apt-get update -qq
+    "${as_root[@]}" env DEBIAN_FRONTEND=noninteractive apt-get install -y -qq "${missing[@]}" >/dev/null
 }
 # shellcheck disable=SC2034  # used by the scripts that source this file
 build_packages=(cmake:/usr/bin/cmake g++:/usr/bin/c++ make:/usr/bin/make libevent-dev:/usr/include/event2/event.h
--- a/tests/fleet_test.sh
+++ b/tests/fleet_test.sh
@@ -1,137 +1,144 @@
 #!/usr/bin/env bash
-# Several processes of sloestack, faults between them, and the rules. What is checked holds whatever the machine's speed
-# is: rules with a second of slack, counts of processes, and that each fault was there.
-#   fleet_test.sh SLOESTACKCTL SCENARIOS CASE
+# Runs scenarios of the fault harness: several sloestack processes with faults between them, and a report on the rules.
+# The checks do not depend on the machine's speed: rules with a second of slack, numbers of process events, and that each
+# fault was injected.
+#   fleet_test.sh SLOESTACKCTL SCENARIOS CASE    SCENARIOS is the folder of the scenario files
 set -uo pipefail
 ctl=$1
 scenarios=$2
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 fail() { echo "FAILED: $*"; exit 1; }
-play() {  # SCENARIO [SLACK]: no rule is broken
+# run_scenario SCENARIO [SLACK_MS]: runs ci-SCENARIO.json; fails if a rule is broken.
+run_scenario() {
     timeout 150 "$ctl" fleet run "$scenarios/ci-$1.json" --seed 3 --slack "${2:-1000}" --out "$folder/run" --json \
         >"$folder/report" 2>"$folder/err" || { cat "$folder/report" "$folder/err"; tail -n 20 "$folder"/run/*.log; fail "$1"; }
 }
-# count WORD: events of processes with this word.
-count() { grep -c "\"what\":\"process\",\"word\":\"$1\"" "$folder/run/conductor.jsonl"; }
-is() { test "$2" "$3" "$4" || { cat "$folder/report"; fail "$1: $2 $3 $4 does not hold"; }; }
-number() { sed -n "s/^  \"$1\": \([0-9]*\),*$/\1/p" "$folder/report"; }
-# served LEAST WHO: of the answers on standard input, so many at least, all but one in a hundred are served.
-served() {
-    local answers all lost
-    answers=$(cat)
-    all=$(echo "$answers" | wc -l)
-    lost=$(echo "$answers" | grep -cv '"word":"served"')
-    is "$2 were asked" "$all" -ge "$1"
-    is "and served, of $all: lost" "$lost" -le $((all / 100))
+# count_events WORD: number of process events of the kind WORD: started, ready, killed, ended and so on.
+count_events() { grep -c "\"what\":\"process\",\"word\":\"$1\"" "$folder/run/conductor.jsonl"; }
+# check NAME A OPERATOR B: fails unless `test A OPERATOR B` holds.
+check() { test "$2" "$3" "$4" || { cat "$folder/report"; fail "$1: $2 $3 $4 does not hold"; }; }
+# top_level_number KEY: a number at the top level of the report.
+top_level_number() { sed -n "s/^  \"$1\": \([0-9]*\),*$/\1/p" "$folder/report"; }
+# check_served MINIMUM WHICH_PROXIES: reads responses from standard input; there are at least MINIMUM, and at most one in
+# a hundred is not `served`.
+check_served() {
+    local responses all failed
+    responses=$(cat)
+    all=$(echo "$responses" | wc -l)
+    failed=$(echo "$responses" | grep -cv '"word":"served"')
+    check "responses of $2" "$all" -ge "$1"
+    check "responses of $2 that are not served, of $all" "$failed" -le $((all / 100))
 }
-inner() { sed -n "s/^    \"$1\": \([0-9]*\),*$/\1/p" "$folder/report" | tail -n 1; }  # one level in; the last
-# Sessions of which more than one proxy was asked.
-away_sessions() {
+# nested_number KEY: a number one level below the top of the report; the last one if several objects have the key.
+nested_number() { sed -n "s/^    \"$1\": \([0-9]*\),*$/\1/p" "$folder/report" | tail -n 1; }
+# Prints the number of sessions that sent requests to more than one proxy.
+count_moved_sessions() {
     sed -n 's/.*"key":"\([0-9a-f]*\)".*"proxy":\([0-9]*\),.*"what":"asked".*/\1 \2/p' "$folder"/run/clients-*.jsonl |
         sort -u | cut -d' ' -f1 | uniq -d | wc -l
 }
-faults() { grep -c '"what":"fault"' "$folder/run/conductor.jsonl"; }
+# Prints the number of fault events; each fault has one for its start and one for its end.
+count_fault_events() { grep -c '"what":"fault"' "$folder/run/conductor.jsonl"; }
 
 case $3 in
 restart)
-    play restart
-    is "killed" "$(count killed)" -ge 9
-    is "killed ones started again" "$(count started)" -eq $((5 + $(count killed)))
-    # One that is killed again may not have been ready before; all were that were killed last.
-    is "and were ready" "$(count ready)" -ge 10
-    is "all end in order" "$(count ended)" -eq 5
-    is "requests died with their process" "$(number excused)" -ge 1
-    # By evidence: five were killed last, with six seconds to go.
-    is "those that came back know the members again" "$(inner count)" -ge 5
+    run_scenario restart
+    check "processes killed" "$(count_events killed)" -ge 9
+    check "processes started: five, and one for each kill" "$(count_events started)" -eq $((5 + $(count_events killed)))
+    # A process that is killed again may not have become ready before. All five become ready after their last kill.
+    check "processes ready" "$(count_events ready)" -ge 10
+    check "processes that exited cleanly" "$(count_events ended)" -eq 5
+    check "requests lost with a killed process, which the rules excuse" "$(top_level_number excused)" -ge 1
+    # The report's `serving`: five processes were killed last, six seconds before the end, and all have to be back.
+    check "restarted processes that heard from their endpoints again" "$(nested_number count)" -ge 5
     ;;
 pause)
-    play pause
-    is "stopped" "$(count stopped)" -eq 8
-    is "and let go" "$(count continued)" -eq 8
-    is "none was lost" "$(count ended)" -eq 4
+    run_scenario pause
+    check "processes stopped" "$(count_events stopped)" -eq 8
+    check "processes continued" "$(count_events continued)" -eq 8
+    check "processes that exited cleanly" "$(count_events ended)" -eq 4
     ;;
 rolling)
-    play rolling
-    is "ended by SIGTERM, four in waves and all at the end" "$(count ended)" -eq 9
-    is "crashed again and again" "$(count killed)" -eq 8
-    is "started" "$(count started)" -eq 17
+    run_scenario rolling
+    check "processes that exited cleanly: four in waves and five at the end" "$(count_events ended)" -eq 9
+    check "processes killed in the crash loop" "$(count_events killed)" -eq 8
+    check "processes started" "$(count_events started)" -eq 17
     ;;
 loop)
-    play loop
-    is "killed" "$(count killed)" -eq 10
-    # They bear its clients as well; a machine that stands still may have them refuse one or two.
-    served 500 "the others" < <(grep '"last":true' "$folder/run/clients-0.jsonl" | grep -v '"proxy":3,')
+    run_scenario loop
+    check "processes killed" "$(count_events killed)" -eq 10
+    # The other proxies serve the clients of the crashing one as well. If the machine stalls, they may reject one or two.
+    check_served 500 "the other proxies" < <(grep '"last":true' "$folder/run/clients-0.jsonl" | grep -v '"proxy":3,')
     ;;
-crowd)  # those that are still up serve all that come to them, and send on nothing twice
-    play crowd
-    is "killed" "$(count killed)" -eq 4
-    served 350 "the two" < <(grep '"what":"answered"' "$folder/run/clients-0.jsonl" | grep -E '"proxy":[01],')
+crowd)  # the proxies that are still up serve the clients of those that were killed, and forward no write twice
+    run_scenario crowd
+    check "processes killed" "$(count_events killed)" -eq 4
+    check_served 350 "the two that stay up" < <(grep '"what":"answered"' "$folder/run/clients-0.jsonl" | grep -E '"proxy":[01],')
     ;;
-stale)  # what was known before the start serves no read that must be newer
-    play stale
-    is "killed" "$(count killed)" -eq 10
+stale)  # a read that needs newer data is not served on what the proxy knew before its restart
+    run_scenario stale
+    check "processes killed" "$(count_events killed)" -eq 10
     own=$(grep '"word":"served"' "$folder/run/clients-0.jsonl" | grep -c '"class":3')
-    is "reads of sessions were served" "$own" -ge 150
-    # One that never believed a primary would refuse hundreds.
-    is "refused" "$(inner refused)" -le 100
+    check "session reads served" "$own" -ge 150
+    # A proxy that never accepted a primary as such would reject hundreds of requests.
+    check "rejected requests" "$(nested_number refused)" -le 100
     ;;
-silent)  # what a watch has missed is heard before it counts as told
-    play silent 500
-    # All that were open, and no other: one that is just between two calls has no watch to fall silent.
+silent)  # a watch that falls silent is reopened before the rules count the missed change as notified
+    run_scenario silent 500
+    # Exactly the watches that were open: a proxy that is between two polls has no watch that could fall silent.
     silenced=$(grep -c '"what":"called","word":"silent"' "$folder/run/discovery.jsonl")
-    is "watches fell silent" "$silenced" -ge 5
-    is "each silent watch is opened anew" "$(cat "$folder"/run/n*.log | grep -c 'discovery silent')" -eq "$silenced"
-    is "the drains were told" "$(grep -c '"what":"drain"' "$folder/run/discovery.jsonl")" -ge 16
-    is "members were reached" "$(number attempts)" -ge 2000
+    check "watches that fell silent" "$silenced" -ge 5
+    check "silent watches that were reopened" "$(cat "$folder"/run/n*.log | grep -c 'discovery silent')" -eq "$silenced"
+    check "drain notices to proxies" "$(grep -c '"what":"drain"' "$folder/run/discovery.jsonl")" -ge 16
+    check "attempts at endpoints" "$(top_level_number attempts)" -ge 2000
     ;;
 sessions)
-    play sessions
-    is "killed" "$(count killed)" -eq 4
-    is "sessions came by other proxies" "$(away_sessions)" -ge 5
+    run_scenario sessions
+    check "processes killed" "$(count_events killed)" -eq 4
+    check "sessions that used several proxies" "$(count_moved_sessions)" -ge 5
     ;;
 discovery)
-    play discovery
-    is "killed" "$(count killed)" -eq 6
-    is "all come up with discovery gone, behind or slow" "$(count ready)" -ge 8
-    is "a list of nobody was told" "$(grep -c '"word":"whole"' "$folder/run/discovery.jsonl")" -ge 1
-    # Believed, it would have all refused that come for three seconds, some 240.
-    is "and not believed: refused" "$(inner refused)" -le 100
+    run_scenario discovery
+    check "processes killed" "$(count_events killed)" -eq 6
+    check "processes ready, with discovery down, behind or slow" "$(count_events ready)" -ge 8
+    check "complete lists sent by discovery" "$(grep -c '"word":"whole"' "$folder/run/discovery.jsonl")" -ge 1
+    # If the proxies accepted the empty list, they would reject all requests of three seconds, about 240.
+    check "rejected requests" "$(nested_number refused)" -le 100
     ;;
 members | edges)
-    play "$3"
-    is "each fault begins and ends" "$(faults)" -eq $((2 * $("$ctl" fleet check "$scenarios/ci-$3.json" | wc -l)))
-    is "all end in order" "$(count ended)" -eq 4
-    is "members were reached" "$(number attempts)" -ge 500
+    run_scenario "$3"
+    check "fault events, a start and an end each" "$(count_fault_events)" -eq $((2 * $("$ctl" fleet check "$scenarios/ci-$3.json" | wc -l)))
+    check "processes that exited cleanly" "$(count_events ended)" -eq 4
+    check "attempts at endpoints" "$(top_level_number attempts)" -ge 500
     ;;
-report)  # what the rules find in a record, and what is no record
+report)  # violations that the rules find in a run record, and folders that are no valid record
     cat >"$folder/short.json" <<'END'
 {"version": 1, "proxies": 3, "banks": 1, "members": 3, "rate_per_s": 20, "length_s": 2, // a comment
  "member": {"least_work_ms": 2, "most_work_ms": 4}}
 END
     timeout 100 "$ctl" fleet run "$folder/short.json" --out "$folder/run" --slack 1000 >"$folder/report" 2>&1 ||
-        { cat "$folder/report"; fail "the run"; }
+        { cat "$folder/report"; fail "fleet run reported a violation or an error"; }
     cp -r "$folder/run" "$folder/cut"
-    # An answer that is missing; a request that is sent on to a member long after its drain was told.
+    # Two violations: a missing response, and a request forwarded to an endpoint long after its drain notice.
     line=$(grep -n '"word":"served"' "$folder/cut/clients-0.jsonl" | head -n 1 | cut -d: -f1)
     sed -i "${line}d" "$folder/cut/clients-0.jsonl"
-    "$ctl" fleet report "$folder/cut" --slack 1000 >"$folder/report" && fail "a missing answer is not found"
-    grep -q "was never answered" "$folder/report" || fail "a missing answer is not named"
+    "$ctl" fleet report "$folder/cut" --slack 1000 >"$folder/report" && fail "fleet report does not find the missing response"
+    grep -q "was never answered" "$folder/report" || fail "fleet report does not name the missing response"
     begins=$(sed -n 's/.*"begins": \([0-9]*\),.*/\1/p' "$folder/run/run.json")
     for member in 0 1 2; do
         echo "{\"at\":$begins,\"what\":\"drain\",\"proxy\":0,\"member\":$member}"
     done >"$folder/run/drains.jsonl"
-    "$ctl" fleet report "$folder/run" >"$folder/report" && fail "a drain that was not kept is not found"
-    grep -q "after its drain was told" "$folder/report" || fail "a drain that was not kept is not named"
+    "$ctl" fleet report "$folder/run" >"$folder/report" && fail "fleet report does not find the request to a drained endpoint"
+    grep -q "after its drain was told" "$folder/report" || fail "fleet report does not name the request to a drained endpoint"
     echo "nonsense" >"$folder/run/drains.jsonl"
     "$ctl" fleet report "$folder/run" >"$folder/report" 2>&1
-    is "exit code on a record that cannot be read" $? -eq 2
+    check "exit code for a record that cannot be parsed" $? -eq 2
     "$ctl" fleet report "$folder" >"$folder/report" 2>&1
-    is "exit code where there is no run" $? -eq 2
+    check "exit code for a folder without a run record" $? -eq 2
     sed 's/"proxies": 3/"proxys": 3/' "$folder/short.json" >"$folder/bad.json"
     "$ctl" fleet run "$folder/bad.json" >"$folder/report" 2>&1
-    is "exit code on a scenario that is none" $? -eq 2
+    check "exit code for a scenario with an unknown key" $? -eq 2
     ;;
-*) fail "no case $3" ;;
+*) fail "unknown case $3" ;;
 esac
 echo "passed: $3"
