--- a/bench/decision_trace/fleet.cpp
+++ b/bench/decision_trace/fleet.cpp
@@ -7,13 +7,13 @@
 
 using namespace sloestack::decision;
 
-constexpr Micros kStep = 1'000;            // us; what happens within it is one step of a router
-constexpr Micros kChangeEvery = 250'000;   // us; between the changes of the fleet
-constexpr Micros kAvoidedEvery = 100'000;  // us; between looks at how many endpoints are avoided
-constexpr Micros kLongestQueue = 60'000;   // us; an endpoint with more to do rejects
-constexpr Micros kRoundTrip = 600;         // us
+constexpr Micros kStepUs = 1'000;  // a router gets the events of this period in one call of step()
+constexpr Micros kChangeIntervalUs = 250'000;
+constexpr Micros kEjectedCountIntervalUs = 100'000;
+constexpr Micros kMaxQueueUs = 60'000;  // an endpoint with more work than this in its queue rejects
+constexpr Micros kRoundTripUs = 600;
 
-const char* kind(const Event& event) {
+const char* kind_of(const Event& event) {
     static constexpr const char* kKinds[] = {"list",        "arrival", "attempt-ended",     "answer-started",
                                              "client-gone", "timer",   "health-check-ended"};
     return kKinds[event.index()];
@@ -24,32 +24,33 @@
 Fleet::Fleet(const Scenario& scenario, Trace& trace)
     : scenario_(scenario), trace_(trace), random_(scenario.seed) {
     for (int group = 0; group < scenario_.groups; ++group)
-        for (int member = 0; member < scenario_.members_per_group; ++member) {
-            add_endpoint(++last_endpoint_, group, (group + member) % scenario_.zones, 0);
-            endpoints_[last_endpoint_].primary = member == 0;
-            endpoints_[last_endpoint_].entry.listed_primary = member == 0;
+        for (int index = 0; index < scenario_.endpoints_per_group; ++index) {
+            add_endpoint(++last_endpoint_, group, (group + index) % scenario_.zones, 0);
+            endpoints_[last_endpoint_].primary = index == 0;
+            endpoints_[last_endpoint_].entry.listed_primary = index == 0;
         }
 }
 
-void Fleet::play() {
+void Fleet::run() {
     start_routers();
-    for (; now_ < start_ + scenario_.duration_us; now_ += kStep) {
+    for (; now_ < start_ + scenario_.duration_us; now_ += kStepUs) {
         const Micros since = now_ - start_;
-        if (since % kChangeEvery == 0) change_fleet();
-        arrive();
+        if (since % kChangeIntervalUs == 0) change_fleet();
+        add_arrivals();
         while (!pending_.empty() && pending_.top().at <= now_) {
             deliver(pending_.top());
             pending_.pop();
         }
         step_routers();
-        if (since % kAvoidedEvery != 0) continue;
+        if (since % kEjectedCountIntervalUs != 0) continue;
         for (std::size_t i = 0; i < routers_.size(); ++i)
-            trace_.avoided(now_, static_cast<int>(i), routers_[i].router->ejected_endpoint_count());
+            trace_.print_ejected_count(now_, static_cast<int>(i),
+                                       routers_[i].router->ejected_endpoint_count());
     }
-    trace_.summary(scenario_.name);
+    trace_.print_summary(scenario_.name);
 }
 
-// ---- the course of the day ----
+// ---- changes of the fleet ----
 void Fleet::add_endpoint(EndpointId id, int group, int zone, Time started_at) {
     auto& endpoint = endpoints_[id];
     endpoint.entry.endpoint = id;
@@ -60,7 +61,7 @@
 }
 
 void Fleet::start_routers() {
-    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
+    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(endpoint_list());
     for (int i = 0; i < scenario_.routers; ++i) {
         auto settings = scenario_.settings;
         settings.zone = i % scenario_.zones;
@@ -72,24 +73,25 @@
 }
 
 void Fleet::change_fleet() {
-    const auto quarter = (now_ - start_) / kChangeEvery;  // of a second
-    const auto last = scenario_.duration_us / kChangeEvery;
-    if (quarter == 6) set_zone_hung(1, true);
-    if (quarter == 13) set_zone_hung(1, false);
-    if (quarter == 4 || quarter == 16 || quarter == 24) replace_some();
-    if (quarter == 8 || quarter == 18 || quarter == 28)
+    const auto change = (now_ - start_) / kChangeIntervalUs;  // counts the calls of this function
+    const auto last_change = scenario_.duration_us / kChangeIntervalUs;
+    if (change == 6) set_zone_hung(1, true);
+    if (change == 13) set_zone_hung(1, false);
+    if (change == 4 || change == 16 || change == 24) replace_endpoints();
+    if (change == 8 || change == 18 || change == 28)
         for (int group = 0; group < scenario_.groups; group += 3) fail_over(group);
-    discovery_up_ = !(quarter >= 9 && quarter < 12);
+    discovery_up_ = !(change >= 9 && change < 12);
     for (auto& [id, endpoint] : endpoints_) {
-        const bool troubled = quarter > 2 && quarter < last - 4;
-        endpoint.failing = troubled && random_.one_in(40);
-        endpoint.resetting = troubled && random_.one_in(40);
-        endpoint.slow_factor = troubled && random_.one_in(20) ? 8 : 1;
-        if (random_.one_in(15)) endpoint.hung = troubled && endpoint.entry.zone != 1 && random_.one_in(3);
-        // Lag grows over some seconds and shrinks again, so that there are speeds to be seen.
+        const bool faults_enabled = change > 2 && change < last_change - 4;
+        endpoint.failing = faults_enabled && random_.one_in(40);
+        endpoint.resetting = faults_enabled && random_.one_in(40);
+        endpoint.slow_factor = faults_enabled && random_.one_in(20) ? 8 : 1;
+        if (random_.one_in(15))
+            endpoint.hung = faults_enabled && endpoint.entry.zone != 1 && random_.one_in(3);
+        // Lag grows and shrinks over some seconds, so that routers can measure the speed of replication.
         if (random_.one_in(8)) endpoint.lag_us = 10'000 + 50'000 * random_.below(20);
     }
-    if (quarter % 8 == 7) publish(EndpointListKind::complete);
+    if (change % 8 == 7) publish(EndpointListKind::complete);
 }
 
 void Fleet::set_zone_hung(int zone, bool hung) {
@@ -97,8 +99,9 @@
         if (endpoint.entry.zone == zone) endpoint.hung = hung;
 }
 
-// Some endpoints drain, those that drained are gone, and others start in their place; some run again.
-void Fleet::replace_some() {
+// Removes most draining endpoints, begins to drain some others, adds a replacement for each of those, and
+// marks some as restarted.
+void Fleet::replace_endpoints() {
     std::vector<Endpoint> replaced;
     for (auto& [id, endpoint] : endpoints_) {
         auto& state = endpoint.entry.state;
@@ -118,27 +121,27 @@
 }
 
 void Fleet::fail_over(int group) {
-    Endpoint* next = nullptr;
+    Endpoint* new_primary = nullptr;
     for (auto& [id, endpoint] : endpoints_) {
         if (endpoint.entry.replica_group != group) continue;
         if (endpoint.primary) {
             endpoint.primary = false;
             endpoint.hung = random_.one_in(2);
-        } else if (endpoint.entry.state == EndpointState::ready && (!next || random_.one_in(2))) {
-            next = &endpoint;
+        } else if (endpoint.entry.state == EndpointState::ready && (!new_primary || random_.one_in(2))) {
+            new_primary = &endpoint;
         }
     }
-    if (next) next->primary = next->entry.listed_primary = true;
+    if (new_primary) new_primary->primary = new_primary->entry.listed_primary = true;
 }
 
 void Fleet::publish(EndpointListKind list_kind) {
-    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
+    const auto entries = std::make_shared<const std::vector<EndpointEntry>>(endpoint_list());
     for (std::size_t i = 0; i < routers_.size(); ++i)
         if (!random_.one_in(5))
             schedule(1'000 * random_.below(300), static_cast<int>(i), EndpointList{list_kind, entries});
 }
 
-std::vector<EndpointEntry> Fleet::list() const {
+std::vector<EndpointEntry> Fleet::endpoint_list() const {
     std::vector<EndpointEntry> out;
     for (const auto& [id, endpoint] : endpoints_)
         if (endpoint.entry.state != EndpointState::removed) out.push_back(endpoint.entry);
@@ -146,10 +149,10 @@
 }
 
 // ---- clients ----
-void Fleet::arrive() {
+void Fleet::add_arrivals() {
     const bool burst = (now_ - start_) / 1'000'000 % 5 == 3;
-    const auto per_step = scenario_.requests_per_second * (burst ? 2 : 1);
-    const auto count = per_step / 1'000 + (random_.below(1'000) < per_step % 1'000 ? 1 : 0);
+    const auto per_second = scenario_.requests_per_second * (burst ? 2 : 1);
+    const auto count = per_second / 1'000 + (random_.below(1'000) < per_second % 1'000 ? 1 : 0);
     for (std::int64_t i = 0; i < count; ++i) {
         auto& router = routers_[static_cast<std::size_t>(random_.below(scenario_.routers))];
         Arrival arrival;
@@ -158,36 +161,36 @@
         arrival.request_class = static_cast<int>(random_.one_in(500) ? classes : random_.below(classes));
         arrival.session = random_.one_in(3) ? 0 : 1 + static_cast<SessionId>(random_.below(50));
         arrival.deadline = now_ + 20'000 + 1'000 * random_.below(600);
-        // The first group is asked for as often as all others together.
+        // Half of all requests and a share of the rest go to replica group 0.
         arrival.replica_group = random_.one_in(2) ? 0 : static_cast<int>(random_.below(scenario_.groups));
         if (random_.one_in(2)) arrival.last_write_age_us = 1'000 * random_.below(2'000);
         router.requests[arrival.request].arrival = arrival;
         router.events.emplace_back(arrival);
-        if (random_.one_in(15)) leave(router);
+        if (random_.one_in(15)) disconnect_recent_client(router);
     }
 }
 
-void Fleet::leave(Router& router) {
-    const auto recent = static_cast<RequestId>(random_.below(20 * scenario_.routers));
-    const auto found = router.requests.lower_bound(last_request_ - std::min(recent, last_request_));
+void Fleet::disconnect_recent_client(Router& router) {
+    const auto age = static_cast<RequestId>(random_.below(20 * scenario_.routers));
+    const auto found = router.requests.lower_bound(last_request_ - std::min(age, last_request_));
     if (found == router.requests.end() || !found->second.open) return;
     found->second.open = false;
     router.events.emplace_back(ClientDisconnected{found->first});
 }
 
-// ---- what routers ask for ----
+// ---- actions of routers ----
 void Fleet::carry_out(int router, const std::vector<Action>& actions) {
-    trace_.actions(now_, router, actions);
-    for (const auto& action : actions) std::visit([&](const auto& a) { act(router, a); }, action);
+    trace_.print_actions(now_, router, actions);
+    for (const auto& action : actions) std::visit([&](const auto& a) { handle(router, a); }, action);
 }
 
 Micros Fleet::service_time(Endpoint& endpoint, int request_class) {
-    const Micros work = (request_class == 3 ? 6'000 : 1'500) + random_.below(3'000);
-    const bool cold = now_ - endpoint.entry.started_at < scenario_.settings.slow_start_duration_us;
-    return work * endpoint.slow_factor * (cold ? 2 : 1);
+    const Micros work_us = (request_class == 3 ? 6'000 : 1'500) + random_.below(3'000);
+    const bool in_slow_start = now_ - endpoint.entry.started_at < scenario_.settings.slow_start_duration_us;
+    return work_us * endpoint.slow_factor * (in_slow_start ? 2 : 1);
 }
 
-ReplicationStatus Fleet::status(const Endpoint& endpoint) {
+ReplicationStatus Fleet::replication_status(const Endpoint& endpoint) {
     ReplicationStatus out;
     if (random_.one_in(4)) return out;
     out.role = endpoint.primary ? Role::primary : Role::replica;
@@ -196,39 +199,40 @@
     return out;
 }
 
-// How the attempt ends if nothing cancels it; `latency_us` is when.
-AttemptEnded Fleet::answer(const Request& request, const Forward& action) {
+// Returns how the attempt ends unless it is cancelled. `latency_us` is the delay from now to that end.
+AttemptEnded Fleet::attempt_result(const Request& request, const Forward& action) {
     AttemptEnded end;
     end.request = action.request;
     end.attempt = request.attempts;
     end.endpoint = action.endpoint;
     end.on_reused_connection = random_.one_in(2);
-    const Micros left = std::max<Micros>(0, request.arrival.deadline - now_);
-    const Micros wait = action.timeout_us > 0 ? std::min(action.timeout_us, left) : left;
+    const Micros time_left_us = std::max<Micros>(0, request.arrival.deadline - now_);
+    const Micros timeout_us =
+        action.timeout_us > 0 ? std::min(action.timeout_us, time_left_us) : time_left_us;
     auto& endpoint = endpoints_[action.endpoint];
     if (!endpoint.running || random_.one_in(200)) {
         end.outcome = Outcome::connect_failed;
-        end.latency_us = kRoundTrip;
+        end.latency_us = kRoundTripUs;
         return end;
     }
     if (endpoint.hung) {
         end.outcome = Outcome::timeout;
-        end.latency_us = wait;
+        end.latency_us = timeout_us;
         return end;
     }
     const auto index = static_cast<std::size_t>(request.arrival.request_class);
-    const auto need = scenario_.settings.classes[index].consistency;
-    const bool write = scenario_.settings.classes[index].is_write;
-    const bool checks = scenario_.settings.position_check != PositionCheck::none;
-    const bool behind = need != Consistency::any && endpoint.lag_us > 400'000;
-    end.status = status(endpoint);
-    end.reported_status = status(endpoint);
-    end.latency_us = kRoundTrip;
-    if (!endpoint.primary && (write || (checks && behind))) {
+    const auto consistency = scenario_.settings.classes[index].consistency;
+    const bool is_write = scenario_.settings.classes[index].is_write;
+    const bool checks_position = scenario_.settings.position_check != PositionCheck::none;
+    const bool lags = consistency != Consistency::any && endpoint.lag_us > 400'000;
+    end.status = replication_status(endpoint);
+    end.reported_status = replication_status(endpoint);
+    end.latency_us = kRoundTripUs;
+    if (!endpoint.primary && (is_write || (checks_position && lags))) {
         end.outcome = Outcome::not_eligible;
         return end;
     }
-    if (endpoint.busy_until > now_ + kLongestQueue) {
+    if (endpoint.busy_until > now_ + kMaxQueueUs) {
         end.outcome = Outcome::overloaded;
         return end;
     }
@@ -236,15 +240,15 @@
         std::max(endpoint.busy_until, now_) + service_time(endpoint, request.arrival.request_class);
     end.latency_us += endpoint.busy_until - now_;
     end.outcome = endpoint.failing ? Outcome::error : endpoint.resetting ? Outcome::reset : Outcome::ok;
-    if (end.latency_us <= wait) return end;
+    if (end.latency_us <= timeout_us) return end;
     end.outcome = Outcome::timeout;
-    end.latency_us = wait;
+    end.latency_us = timeout_us;
     return end;
 }
 
-void Fleet::act(int router, const Forward& action) {
+void Fleet::handle(int router, const Forward& action) {
     auto& request = routers_[static_cast<std::size_t>(router)].requests[action.request];
-    auto end = answer(request, action);
+    auto end = attempt_result(request, action);
     ++request.attempts;
     if (!request.open) {
         end.outcome = Outcome::expired;
@@ -258,50 +262,50 @@
     schedule(end.latency_us, router, end);
 }
 
-void Fleet::act(int router, const Reject& action) {
+void Fleet::handle(int router, const Reject& action) {
     routers_[static_cast<std::size_t>(router)].requests[action.request].open = false;
 }
-void Fleet::act(int router, const Fail& action) {
+void Fleet::handle(int router, const Fail& action) {
     routers_[static_cast<std::size_t>(router)].requests[action.request].open = false;
 }
 
-void Fleet::act(int router, const Cancel& action) {
+void Fleet::handle(int router, const Cancel& action) {
     AttemptEnded end;
     end.request = action.request;
     end.attempt = action.attempt;
     end.outcome = Outcome::cancelled;
     end.request_ended = true;
-    schedule(kRoundTrip, router, end);
+    schedule(kRoundTripUs, router, end);
 }
 
-void Fleet::act(int router, const SetTimer& action) {
+void Fleet::handle(int router, const SetTimer& action) {
     schedule(action.delay_us, router, TimerFired{action.token});
 }
 
-void Fleet::act(int router, const StartHealthCheck& action) {
+void Fleet::handle(int router, const StartHealthCheck& action) {
     const auto& endpoint = endpoints_[action.endpoint];
     HealthCheckEnded end;
     end.endpoint = action.endpoint;
-    end.latency_us = endpoint.hung ? 250'000 : kRoundTrip;
+    end.latency_us = endpoint.hung ? 250'000 : kRoundTripUs;
     end.outcome = endpoint.hung ? Outcome::timeout : endpoint.running ? Outcome::ok : Outcome::connect_failed;
-    if (end.outcome == Outcome::ok) end.reported_status = status(endpoint);
+    if (end.outcome == Outcome::ok) end.reported_status = replication_status(endpoint);
     schedule(end.latency_us, router, end);
 }
 
-void Fleet::act(int router, const PollDiscovery&) {
+void Fleet::handle(int router, const PollDiscovery&) {
     const Micros delay = 1'000 + 1'000 * random_.below(20);
     if (discovery_up_ && !random_.one_in(5)) {
-        const auto entries = std::make_shared<const std::vector<EndpointEntry>>(list());
+        const auto entries = std::make_shared<const std::vector<EndpointEntry>>(endpoint_list());
         schedule(delay, router, EndpointList{EndpointListKind::complete, entries});
         return;
     }
-    FailedPoll call;
-    call.rejected = random_.one_in(2);
-    if (random_.one_in(2)) call.duration_us = delay;
-    schedule(delay, router, EndpointList{EndpointListKind::failed, nullptr, call});
+    FailedPoll poll;
+    poll.rejected = random_.one_in(2);
+    if (random_.one_in(2)) poll.duration_us = delay;
+    schedule(delay, router, EndpointList{EndpointListKind::failed, nullptr, poll});
 }
 
-// ---- time ----
+// ---- events to routers ----
 void Fleet::schedule(Micros delay, int router, Event event) {
     pending_.push(Pending{now_ + delay, ++scheduled_, router, std::move(event)});
 }
@@ -322,7 +326,7 @@
     for (std::size_t i = 0; i < routers_.size(); ++i) {
         auto& router = routers_[i];
         if (router.events.empty()) continue;
-        for (const auto& event : router.events) trace_.count_event(kind(event));
+        for (const auto& event : router.events) trace_.count_event(kind_of(event));
         actions.clear();
         router.router->step(now_, router.events, actions);
         router.events.clear();
--- a/bench/decision_trace/fleet.h
+++ b/bench/decision_trace/fleet.h
@@ -1,5 +1,5 @@
-// A fleet of endpoints, discovery and clients round many routers, on a clock of its own. It reacts to what
-// the routers decide, so a single decision that differs changes what follows.
+// Simulates endpoints, discovery and clients of many routers, on a simulated clock. The simulation carries
+// out the routers' actions, so a single different decision changes everything that follows.
 #pragma once
 
 #include <map>
@@ -16,8 +16,8 @@
 class Fleet {
 public:
     Fleet(const Scenario& scenario, Trace& trace);
-    // Plays the scenario from its beginning to its end.
-    void play();
+    // Runs the scenario from its beginning to its end.
+    void run();
 
 private:
     using Time = sloestack::decision::Time;
@@ -47,39 +47,40 @@
         int router;
         Event event;
     };
-    struct Later {
+    struct IsLater {
         bool operator()(const Pending& a, const Pending& b) const {
             return a.at != b.at ? a.at > b.at : a.order > b.order;
         }
     };
 
-    // ---- the course of the day ----
+    // ---- changes of the fleet ----
     void add_endpoint(sloestack::decision::EndpointId id, int group, int zone, Time started_at);
     void start_routers();
     void change_fleet();
     void set_zone_hung(int zone, bool hung);
-    void replace_some();
+    void replace_endpoints();
     void fail_over(int group);
     void publish(sloestack::decision::EndpointListKind kind);
     // ---- clients ----
-    void arrive();
-    void leave(Router& router);
-    // ---- what routers ask for ----
+    void add_arrivals();
+    void disconnect_recent_client(Router& router);
+    // ---- actions of routers ----
     void carry_out(int router, const std::vector<sloestack::decision::Action>& actions);
-    void act(int router, const sloestack::decision::Forward& action);
-    void act(int router, const sloestack::decision::Reject& action);
-    void act(int router, const sloestack::decision::Fail& action);
-    void act(int router, const sloestack::decision::Cancel& action);
-    void act(int router, const sloestack::decision::SetTimer& action);
-    void act(int router, const sloestack::decision::StartHealthCheck& action);
-    void act(int router, const sloestack::decision::PollDiscovery& action);
-    void act(int, const sloestack::decision::Log&) {}
-    sloestack::decision::AttemptEnded answer(const Request& request,
-                                             const sloestack::decision::Forward& action);
+    void handle(int router, const sloestack::decision::Forward& action);
+    void handle(int router, const sloestack::decision::Reject& action);
+    void handle(int router, const sloestack::decision::Fail& action);
+    void handle(int router, const sloestack::decision::Cancel& action);
+    void handle(int router, const sloestack::decision::SetTimer& action);
+    void handle(int router, const sloestack::decision::StartHealthCheck& action);
+    void handle(int router, const sloestack::decision::PollDiscovery& action);
+    void handle(int, const sloestack::decision::Log&) {}
+    sloestack::decision::AttemptEnded attempt_result(const Request& request,
+                                                     const sloestack::decision::Forward& action);
     Micros service_time(Endpoint& endpoint, int request_class);
-    sloestack::decision::ReplicationStatus status(const Endpoint& endpoint);
-    std::vector<sloestack::decision::EndpointEntry> list() const;
+    sloestack::decision::ReplicationStatus replication_status(const Endpoint& endpoint);
+    std::vector<sloestack::decision::EndpointEntry> endpoint_list() const;
 
+    // ---- events to routers ----
     void schedule(Micros delay, int router, Event event);
     void deliver(const Pending& pending);
     void step_routers();
@@ -94,7 +95,7 @@
     sloestack::decision::EndpointId last_endpoint_ = 0;
     std::map<sloestack::decision::EndpointId, Endpoint> endpoints_;
     std::vector<Router> routers_;
-    std::priority_queue<Pending, std::vector<Pending>, Later> pending_;
+    std::priority_queue<Pending, std::vector<Pending>, IsLater> pending_;
     bool discovery_up_ = true;
 };
 
--- a/bench/decision_trace/random_stream.h
+++ b/bench/decision_trace/random_stream.h
@@ -1,4 +1,5 @@
-// The driver's own random numbers: integer arithmetic alone, so that every build draws the same.
+// A random number generator in integer arithmetic alone, so that all builds and platforms get the same
+// numbers.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
         mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebu;
         return mixed ^ (mixed >> 31);
     }
-    // Uniform in [0, bound); `bound` is over 0.
+    // Returns a number uniform in [0, bound); `bound` must be positive.
     std::int64_t below(std::int64_t bound) {
         return static_cast<std::int64_t>(next() % static_cast<std::uint64_t>(bound));
     }
--- a/bench/decision_trace/scenario.cpp
+++ b/bench/decision_trace/scenario.cpp
@@ -5,17 +5,17 @@
 
 using namespace sloestack::decision;
 
-RequestClassSettings make_class(Consistency need, Idempotency effect, IdempotencyScope scope,
+RequestClassSettings make_class(Consistency consistency, Idempotency idempotency, IdempotencyScope scope,
                                 bool is_write = false) {
     RequestClassSettings out;
     out.is_write = is_write;
-    out.consistency = need;
-    out.idempotency = effect;
+    out.consistency = consistency;
+    out.idempotency = idempotency;
     out.idempotency_scope = scope;
-    out.latency_objective_us = need == Consistency::any ? 120'000 : 60'000;
+    out.latency_objective_us = consistency == Consistency::any ? 120'000 : 60'000;
     out.deadline_us = 600'000;
-    out.staleness_bound_us = need == Consistency::bounded_staleness ? 300'000 : 0;
-    out.idempotency_window_us = effect == Idempotency::keyed ? 250'000 : 0;
+    out.staleness_bound_us = consistency == Consistency::bounded_staleness ? 300'000 : 0;
+    out.idempotency_window_us = idempotency == Idempotency::keyed ? 250'000 : 0;
     out.priority_weight = is_write ? 4 : 1;
     out.late_weight_ratio = 0.3;
     return out;
@@ -41,7 +41,7 @@
     return out;
 }
 
-// Endpoints reject reads that they lag for; health checks report position and role.
+// Endpoints reject reads that need a newer position than theirs; health checks report position and role.
 Settings checked_settings() {
     auto out = common_settings(IdempotencyScope::replica_group);
     out.discovery_is_polled = true;
@@ -52,7 +52,7 @@
     return out;
 }
 
-// Endpoints answer whatever they have; nothing is said of roles in lists.
+// Endpoints serve reads whatever their position is; endpoint lists have no roles.
 Settings unchecked_settings() {
     auto out = common_settings(IdempotencyScope::fleet);
     out.discovery_is_polled = true;
@@ -63,7 +63,8 @@
     return out;
 }
 
-// Endpoints hold reads back until they have caught up; lists are pushed and removal binds nobody.
+// Endpoints delay reads until they have caught up; a local agent pushes endpoint lists, and removal is
+// advisory.
 Settings waiting_settings() {
     auto out = common_settings(IdempotencyScope::zone);
     out.discovery_agent_is_local = true;
@@ -79,7 +80,7 @@
 }
 
 struct Size {
-    int routers, groups, members_per_group;
+    int routers, groups, endpoints_per_group;
     Micros duration_us;
     std::int64_t requests_per_second;
 };
@@ -102,7 +103,7 @@
             scenario.seed = 7'001 + out.size();
             scenario.routers = size.routers;
             scenario.groups = size.groups;
-            scenario.members_per_group = size.members_per_group;
+            scenario.endpoints_per_group = size.endpoints_per_group;
             scenario.duration_us = size.duration_us;
             scenario.requests_per_second = size.requests_per_second;
             out.push_back(scenario);
--- a/bench/decision_trace/trace.h
+++ b/bench/decision_trace/trace.h
@@ -1,5 +1,5 @@
-// Prints what routers decide, an action a line, in names of its own: the lines of two builds can be compared
-// however the interface's names have changed between them.
+// Prints the actions of routers, one a line. The words are this file's own and do not follow renames of the
+// decision module's interface, so that the output of builds before and after a rename can be compared.
 #pragma once
 
 #include <cstdio>
@@ -15,12 +15,13 @@
 public:
     explicit Trace(std::FILE* out) : out_(out) {}
 
-    void actions(sloestack::decision::Time now, int router,
-                 const std::vector<sloestack::decision::Action>& actions);
-    void avoided(sloestack::decision::Time now, int router, std::size_t count);
+    void print_actions(sloestack::decision::Time now, int router,
+                       const std::vector<sloestack::decision::Action>& actions);
+    // Prints the number of endpoints that a router has ejected.
+    void print_ejected_count(sloestack::decision::Time now, int router, std::size_t count);
     void count_event(const char* kind) { ++counts_[std::string("event ") + kind]; }
-    // How often each kind of event, action and reason came, and begins anew.
-    void summary(const std::string& scenario);
+    // Prints the number of each kind of event, action and reason, and resets the counts.
+    void print_summary(const std::string& scenario);
 
 private:
     std::FILE* out_;
--- a/bench/calls.cpp
+++ b/bench/discovery_poll_load.cpp
@@ -1,11 +1,11 @@
-// What fleets of calls for the list come to, by size and by what discovery bears: the table of
-// docs/design/crossings.md. Not part of CI. No arguments; prints one line a case.
+// Prints the polls that fleets of routers send to discovery, by fleet size and by the capacity of discovery:
+// the table of docs/design/crossings.md. Not part of CI. Takes no arguments; prints one line per case.
 #include <cstdio>
 
 #include "emulator/callers.h"
 
 int main() {
-    std::printf("%8s %6s %5s %8s %8s %8s %8s %9s %9s\n", "routers", "a s", "held", "calls/s", "failed",
+    std::printf("%8s %6s %5s %8s %8s %8s %8s %9s %9s\n", "routers", "cap/s", "long", "polls/s", "failed",
                 "late", "in time", "last s", "watching");
     for (const bool free : {true, false})
         for (const int routers : {3, 30, 300, 1700})
--- a/bench/pcap_read.cpp
+++ b/bench/pcap_read.cpp
@@ -1,5 +1,6 @@
-// How fast a capture is read, stage by stage, against libpcap's bare read of the same file in the same run.
-// Paired: `bench/pcap-read FILE` interleaves the stages at random and repeats them; only the ratios count.
+// Benchmarks reading a capture, stage by stage, against a read of the same file with libpcap alone. Use the
+// ratios only: bench/pcap.sh runs the stages randomly interleaved and repeated, so that the machine's load
+// affects all of them alike.
 #include <benchmark/benchmark.h>
 #include <sys/resource.h>
 #include <tins/ethernetII.h>
@@ -15,11 +16,11 @@
 using namespace sloestack;
 std::string path;
 
-void count(benchmark::State& state, std::uint64_t packets) {
+void report_packet_rate(benchmark::State& state, std::uint64_t packets) {
     state.counters["packets"] = benchmark::Counter(static_cast<double>(packets), benchmark::Counter::kIsRate);
 }
 
-struct Nobody final : conversation::Listener, streams::Events {
+struct CountingListener final : conversation::Listener, streams::Events {
     std::uint64_t requests = 0, bytes_seen = 0;
     void asked(const conversation::Asked&) override { ++requests; }
     void answered(const conversation::Answered&) override {}
@@ -31,16 +32,16 @@
     void closed(streams::StreamId, std::int64_t, streams::End) override {}
 };
 
-void bare(benchmark::State& state) {
+void read_frames(benchmark::State& state) {
     for (auto _ : state) {
         pcap::Reader reader(path);
         std::uint64_t packets = 0, sum = 0;
         while (const auto frame = reader.next()) ++packets, sum += frame->bytes.size();
         benchmark::DoNotOptimize(sum);
-        count(state, packets);
+        report_packet_rate(state, packets);
     }
 }
-void by_libtins(benchmark::State& state) {
+void decode_with_libtins(benchmark::State& state) {
     for (auto _ : state) {
         pcap::Reader reader(path);
         std::uint64_t packets = 0, sum = 0;
@@ -51,10 +52,10 @@
             if (const auto* tcp = decoded.find_pdu<Tins::TCP>()) sum += tcp->seq();
         }
         benchmark::DoNotOptimize(sum);
-        count(state, packets);
+        report_packet_rate(state, packets);
     }
 }
-void by_decode(benchmark::State& state) {
+void decode_segments(benchmark::State& state) {
     for (auto _ : state) {
         pcap::Reader reader(path);
         std::uint64_t packets = 0, sum = 0;
@@ -65,32 +66,32 @@
                 sum += s.seq;
         }
         benchmark::DoNotOptimize(sum);
-        count(state, packets);
+        report_packet_rate(state, packets);
     }
 }
-void by_streams(benchmark::State& state) {
+void reassemble_streams(benchmark::State& state) {
     for (auto _ : state) {
         pcap::Reader reader(path);
-        Nobody nobody;
-        streams::Streams all({}, nobody);
+        CountingListener listener;
+        streams::Streams reassembler({}, listener);
         std::uint64_t packets = 0;
         while (const auto frame = reader.next()) {
             ++packets;
             pcap::Segment s;
             if (pcap::decode(reader.link_type(), frame->time_ns / 1000, frame->bytes, s) == pcap::Skip::none)
-                all.take(s);
+                reassembler.take(s);
         }
-        all.finish();
-        count(state, packets);
+        reassembler.finish();
+        report_packet_rate(state, packets);
     }
 }
-void whole(benchmark::State& state) {
+void read_conversations(benchmark::State& state) {
     for (auto _ : state) {
-        Nobody nobody;
-        conversation::Recording recording(path, conversation::postgres(), {}, nobody);
+        CountingListener listener;
+        conversation::Recording recording(path, conversation::postgres(), {}, listener);
         while (recording.step()) {
         }
-        count(state, recording.figures().packets);
+        report_packet_rate(state, recording.figures().packets);
     }
 }
 
@@ -99,19 +100,19 @@
 int main(int argc, char** argv) {
     benchmark::Initialize(&argc, argv);
     if (argc != 2) {
-        std::fputs("pcap-read [--benchmark_...] FILE\n", stderr);
+        std::fputs("usage: pcap_read [--benchmark_...] FILE\n", stderr);
         return 2;
     }
     path = argv[1];
-    for (const auto& [name, stage] : {std::pair{"bare libpcap", bare},
-                                      {"decoded by libtins", by_libtins},
-                                      {"decoded here", by_decode},
-                                      {"streams", by_streams},
-                                      {"conversations", whole}})
+    for (const auto& [name, stage] : {std::pair{"bare libpcap", read_frames},
+                                      {"decoded by libtins", decode_with_libtins},
+                                      {"decoded by pcap::decode", decode_segments},
+                                      {"streams", reassemble_streams},
+                                      {"conversations", read_conversations}})
         benchmark::RegisterBenchmark(name, stage)->Unit(benchmark::kMillisecond)->UseRealTime();
     benchmark::RunSpecifiedBenchmarks();
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
-    std::printf("largest resident size: %.1f MB\n", static_cast<double>(used.ru_maxrss) / 1024);
+    std::printf("peak resident size: %.1f MB\n", static_cast<double>(used.ru_maxrss) / 1024);
     return 0;
 }
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -12,9 +12,9 @@
     settings.classes.push_back(read);
     Router router(settings, 42);
 
-    EndpointEntry server;
-    server.endpoint = 7;
-    auto list = std::make_shared<std::vector<EndpointEntry>>(1, server);
+    EndpointEntry entry;
+    entry.endpoint = 7;
+    auto list = std::make_shared<std::vector<EndpointEntry>>(1, entry);
     Arrival arrival;
     arrival.request = 1;
     arrival.deadline = 1'800'000;
@@ -22,8 +22,8 @@
     std::vector<Action> actions;
     router.step(1'000'000, {EndpointList{EndpointListKind::cached, list}, arrival}, actions);
     for (const auto& action : actions)
-        if (const auto* send = std::get_if<Forward>(&action)) {
-            std::cout << "request " << send->request << " to server " << send->endpoint << '\n';
+        if (const auto* forward = std::get_if<Forward>(&action)) {
+            std::cout << "request " << forward->request << " to endpoint " << forward->endpoint << '\n';
             return 0;
         }
     return 1;
