--- a/tests/integration/client_protocol_scenarios.cpp
+++ b/tests/integration/client_protocol_scenarios.cpp
@@ -1,5 +1,5 @@
-// The client side: start-up, queries, pipelining, malformed input. The scenarios' language is described in
-// scenario.h.
+// Client sessions: start-up, queries, pipelining and malformed input. scenario.h describes the scenario
+// language.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,21 +8,22 @@
 
 namespace {
 
-// Two reads; the first is answered after a part of the second one's value has arrived.
+// Two pipelined reads. Part of the second response's value has reached the proxy when the first response
+// arrives.
 const std::string kPartOfSecondValue = R"(
         a send startup read:1 read:2
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         m1.2 expect startup
-        m1.2 send up
+        m1.2 send auth_ok
         m1.2 expect query:id=2
-        m1.2 send begin:200000 some:90000
+        m1.2 send row_head:200000 value_bytes:90000
         a wait 50
         m1.1 send row:first
         a expect row:first ready
-        a holding 90000)";
+        a await_bytes 90000)";
 
 std::string repeat(const std::string& text, int count) {
     std::string out;
@@ -30,58 +31,59 @@
     return out;
 }
 
-TEST(ClientProtocol, QueryRightBehindTheStartupMessage) {
+TEST(ClientProtocol, AcceptsAQueryRightBehindTheStartupMessage) {
     play({}, R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1,c=view
         m1.1 send row:v
         a expect row:v ready)");
 }
 
-TEST(ClientProtocol, EncryptionIsDeclinedAndAnEmptyQueryChecksReadiness) {
+TEST(ClientProtocol, DeclinesEncryptionAndAnswersAnEmptyQueryWhenReady) {
     play({}, R"(
         a send ssl
         a expect N
         a send startup
-        a expect up ready
+        a expect auth_ok ready
         a send empty
         a expect empty ready)");
 }
 
-TEST(ClientProtocol, IsNotReadyAndRejectsWithRetryAfterWhileNoMemberIsKnown) {
-    play(no_known_members(), R"(
+TEST(ClientProtocol, RejectsWithRetryAfterWhileNoEndpointIsKnown) {
+    play(no_known_endpoints(), R"(
         a send startup empty
-        a expect up ready error:57P03 ready
+        a expect auth_ok ready error:57P03 ready
         a send read:1
         a expect error:57P03:1000 ready)");
 }
 
-TEST(ClientProtocol, PipelinedReadsOverlapAndAreAnsweredInOrder) {
+TEST(ClientProtocol, RunsPipelinedReadsInParallelAndRespondsInOrder) {
     play({}, R"(
         a send startup read:1 read:2 empty
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         m1.2 expect startup
-        m1.2 send up
+        m1.2 send auth_ok
         m1.2 expect query:id=2
         m1.2 send row:second
-        a behind
+        a expect_few_messages
         m1.1 send row:first
         a expect row:first ready row:second ready empty ready)");
 }
 
-// A write waits until everything before it is answered, and everything behind it waits for the write.
-TEST(ClientProtocol, PipelinedWritesRunOneAfterTheOther) {
+// A write starts once all requests before it have their response, and the requests behind it wait for the
+// write.
+TEST(ClientProtocol, RunsAPipelinedWriteAlone) {
     play({}, R"(
         a send startup write:1 read:2 empty
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         m1.1 send row:first
         a expect row:first ready
@@ -90,57 +92,57 @@
         a expect row:second ready empty ready)");
 }
 
-TEST(ClientProtocol, AStreamedValueWaitsForTheAnswerBeforeIt) {
+TEST(ClientProtocol, StreamsAValueAfterTheResponseBeforeIt) {
     play({}, kPartOfSecondValue + R"(
-        m1.2 send some:110000 finish
+        m1.2 send value_bytes:110000 command_complete
         a expect large:200000 ready)");
 }
 
-TEST(ClientProtocol, AStreamedValueThatBreaksBehindAnotherAnswerFailsAlone) {
+TEST(ClientProtocol, ABrokenStreamDoesNotAffectTheResponseBeforeIt) {
     play({}, kPartOfSecondValue + R"(
         m1.2 close
         a expect end)");
 }
 
-TEST(ClientProtocol, MalformedTextAndUnknownClassesAreErrorsAndNotForwarded) {
+TEST(ClientProtocol, DoesNotForwardMalformedStatementsAndUnknownClasses) {
     play({}, R"(
         a send startup sql:SELECT_1
-        a expect up ready error:22023 ready
+        a expect auth_ok ready error:22023 ready
         a send sql:SELECT_'x'_/*_id=1,c=view,d=soon,cluster=0_*/
         a expect error:22023 ready
         a send sql:SELECT_'x'_/*_id=1,c=nobody,d=1,cluster=0_*/
         a expect error:22023 ready
         a send sql:SELECT_'x'_/*_id=1,c=view,d=1,cluster=5_*/
         a expect error:57P03 ready
-        a send ext
+        a send extended_query
         a expect error:0A000 ready
         a send read:2
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=2)");
 }
 
-TEST(ClientProtocol, BytesThatAreNoProtocolEndTheConnectionWithAnError) {
+TEST(ClientProtocol, ClosesTheConnectionAfterAProtocolError) {
     play({}, R"(
         a send hex:0000000900020000ff
         a expect error:08P01 end
         b send startup hex:51000000ff00
-        b expect up ready
+        b expect auth_ok ready
         b close
         c send startup hex:5100000002
-        c expect up ready error:08P01 end
+        c expect auth_ok ready error:08P01 end
         e send startup hex:51ffffffff
-        e expect up ready error:08P01 end
+        e expect auth_ok ready error:08P01 end
         f send startup hex:7a00000004
-        f expect up ready error:08P01 end
+        f expect auth_ok ready error:08P01 end
         g send startup hex:510000000541
-        g expect up ready error:08P01 end
-        h send startup bye
-        h expect up ready end)");
+        g expect auth_ok ready error:08P01 end
+        h send startup terminate
+        h expect auth_ok ready end)");
 }
 
-// Clients that ask nothing must not hold descriptors and buffers.
-TEST(ClientProtocol, SilentAndIncompleteClientsAreClosed) {
+// Clients that send nothing or only part of a message must not keep descriptors and buffers.
+TEST(ClientProtocol, ClosesSilentClientsAndIncompleteMessages) {
     play({}, R"(
         a send hex:
         b send hex:00000022
@@ -148,51 +150,51 @@
         e send startup
         a expect end
         b expect end
-        c expect up ready error:08P01 end
-        e expect up ready end)");
+        c expect auth_ok ready error:08P01 end
+        e expect auth_ok ready end)");
 }
 
-// Closing with unread input would reset the connection, and the client might not receive the error.
-TEST(ClientProtocol, TheLastErrorArrivesWhileInputKeepsComing) {
+// Closing a socket with unread input would reset the connection, and the client might lose the error message.
+TEST(ClientProtocol, DeliversTheErrorWhileInputKeepsComing) {
     play({}, R"(
         a send startup
-        a expect up ready
-        a send hex:5104000000 flood
+        a expect auth_ok ready
+        a send hex:5104000000 garbage
         a expect error:08P01 end)");
 }
 
-TEST(ClientProtocol, ARequestIdInUseIsRejectedUntilItsAnswer) {
+TEST(ClientProtocol, RejectsARequestIdThatIsInUse) {
     play({}, R"(
         a send startup read:7
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=7
         b send startup read:7
-        b expect up ready error:22023 ready
+        b expect auth_ok ready error:22023 ready
         m1.1 send row:v
         a expect row:v ready
         b send read:7
         m1.1 expect query:id=7)");
 }
 
-// An iteration of the event loop takes only a few commands of a client, so another one does not wait for all
-// of them.
-TEST(ClientProtocol, HundredsOfCommandsDoNotDelayAnotherClient) {
+// An event-loop iteration handles only a few messages of each client, so another client does not wait for all
+// 400.
+TEST(ClientProtocol, ManyMessagesDoNotDelayAnotherClient) {
     play({}, "a send startup" + repeat(" empty", 400) + R"(
         b send startup empty
-        b expect up ready empty ready
-        a behind
-        a expect up ready empty ready empty ready)");
+        b expect auth_ok ready empty ready
+        a expect_few_messages
+        a expect auth_ok ready empty ready empty ready)");
 }
 
-// A request's deadline counts from when it was sent, also while it waits for the answers before it.
-TEST(ClientProtocol, TimeBehindAnotherRequestCounts) {
+// A request's deadline counts from its arrival, also while it waits for the requests before it.
+TEST(ClientProtocol, DeadlineIncludesTheTimeBehindEarlierRequests) {
     play({}, R"(
         a send startup write:1 read:2,d=300 read:3
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         m1.1 wait 400
         m1.1 send row:v
@@ -200,26 +202,26 @@
         m1.1 expect query:id=3)");
 }
 
-// A half-close looks like a disconnect at first: a client that still reads gets its answer, and a closed
-// one's attempt is cancelled.
-TEST(ClientProtocol, AHalfClosedClientStillGetsItsAnswer) {
+// The end of a client's input may be a half-close or a disconnect. After a half-close the client gets its
+// response; after a disconnect (the next test) the attempt is cancelled.
+TEST(ClientProtocol, RespondsToAHalfClosedClient) {
     play({}, R"(
-        a send startup read:1 half
-        a expect up ready
+        a send startup read:1 half_close
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         a wait 50
         m1.1 send row:v
         a expect row:v ready end)");
 }
 
-TEST(ClientProtocol, AnAttemptIsCancelledWhenItsClientCloses) {
+TEST(ClientProtocol, CancelsTheAttemptWhenTheClientCloses) {
     play({}, R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
         a close
         m1.1 expect end)");
--- a/tests/integration/concurrent_events_test.cpp
+++ b/tests/integration/concurrent_events_test.cpp
@@ -1,6 +1,6 @@
-// Every ordered pair of events at each point of a request's life: both have happened before the proxy's next
-// event loop iteration. After that the members and discovery work normally, and the guarantees must have
-// held.
+// Triggers every ordered pair of events in each stage of a request. Both events happen before the proxy's
+// next event-loop iteration; after that the endpoints and discovery work normally. Fails if the pair breaks
+// one of the guarantees below: one response per request, no forwarding after a disconnect, no unsafe retry.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -17,60 +17,60 @@
 
 constexpr std::size_t kGarbageBytes = 40'000;
 
-// ---- the points of a request's life ----
-enum class Point { idle, partly_sent, unread, connecting, waiting, partly_answered };
-constexpr Point kPoints[] = {Point::idle,       Point::partly_sent, Point::unread,
-                             Point::connecting, Point::waiting,     Point::partly_answered};
+// ---- stages of a request ----
+enum class Stage { idle, partly_sent, unread, connecting, awaiting_response, response_begun };
+constexpr Stage kStages[] = {Stage::idle,       Stage::partly_sent,       Stage::unread,
+                             Stage::connecting, Stage::awaiting_response, Stage::response_begun};
 
-const char* name_of(Point point) {
-    switch (point) {
-        case Point::idle:
+const char* name_of(Stage stage) {
+    switch (stage) {
+        case Stage::idle:
             return "idle";
-        case Point::partly_sent:
+        case Stage::partly_sent:
             return "partly sent";
-        case Point::unread:
-            return "unread";
-        case Point::connecting:
-            return "connecting";
-        case Point::waiting:
-            return "waiting";
-        case Point::partly_answered:
-            return "partly answered";
+        case Stage::unread:
+            return "sent and unread";
+        case Stage::connecting:
+            return "connecting to the endpoint";
+        case Stage::awaiting_response:
+            return "waiting for the response";
+        case Stage::response_begun:
+            return "response begun";
     }
     return "";
 }
 
-void bring_to(ProxyHarness& proxy, Point point, const char* request_class) {
+void advance_to(ProxyHarness& proxy, Stage stage, const char* request_class) {
     proxy.establish_long_poll();
     proxy.connect();
-    if (point == Point::connecting) proxy.members_accept_startup = false;
-    if (point == Point::idle) {
+    if (stage == Stage::connecting) proxy.endpoints_accept_startup = false;
+    if (stage == Stage::idle) {
         proxy.complete_first_request(request_class);
         proxy.clock.advance(50'000);
         proxy.run();
         return;
     }
     const auto request = proxy.make_request(request_class);
-    if (point == Point::partly_sent) {
+    if (stage == Stage::partly_sent) {
         proxy.client.send(request.substr(0, request.size() / 2));
-        --proxy.request_count;  // only complete ones count
+        --proxy.request_count;  // counts complete requests only
         proxy.run();
         return;
     }
     proxy.client.send(request);
-    if (point == Point::unread) return;
-    if (point == Point::connecting) {
+    if (stage == Stage::unread) return;
+    if (stage == Stage::connecting) {
         proxy.run();
         return;
     }
     proxy.run_until([&] { return !proxy.queries.empty(); });
-    if (point == Point::partly_answered) {
-        proxy.begin_answers();
+    if (stage == Stage::response_begun) {
+        proxy.begin_responses();
         proxy.run();
     }
 }
 
-// ---- the events ----
+// ---- events ----
 enum class Event {
     client_closes,
     client_resets,
@@ -78,20 +78,20 @@
     client_cancels,
     client_sends_request,
     client_sends_garbage,
-    answer,
-    partial_answer,
-    member_resets,
-    member_drains,
+    response,
+    partial_response,
+    endpoint_resets,
+    endpoint_drains,
     discovery_resets,
     sighup,
     sigterm,
     time_passes
 };
-constexpr Event kEvents[] = {Event::client_closes,  Event::client_resets,        Event::client_half_closes,
-                             Event::client_cancels, Event::client_sends_request, Event::answer,
-                             Event::partial_answer, Event::client_sends_garbage, Event::member_resets,
-                             Event::member_drains,  Event::discovery_resets,     Event::sighup,
-                             Event::sigterm,        Event::time_passes};
+constexpr Event kEvents[] = {Event::client_closes,    Event::client_resets,        Event::client_half_closes,
+                             Event::client_cancels,   Event::client_sends_request, Event::response,
+                             Event::partial_response, Event::client_sends_garbage, Event::endpoint_resets,
+                             Event::endpoint_drains,  Event::discovery_resets,     Event::sighup,
+                             Event::sigterm,          Event::time_passes};
 
 const char* name_of(Event event) {
     constexpr const char* kNames[] = {"client closes",
@@ -100,10 +100,10 @@
                                       "client cancels",
                                       "client sends a request",
                                       "client sends garbage",
-                                      "answer",
-                                      "partial answer",
-                                      "member resets",
-                                      "member drains",
+                                      "response",
+                                      "partial response",
+                                      "endpoint resets",
+                                      "endpoint drains",
                                       "discovery resets",
                                       "SIGHUP",
                                       "SIGTERM",
@@ -126,15 +126,15 @@
         case Event::client_sends_garbage:
             proxy.client.send(std::string(kGarbageBytes, '\xff'));
             return;
-        case Event::answer:
-            proxy.members_accept_startup = true;
-            return proxy.answer_all();
-        case Event::partial_answer:
-            return proxy.begin_answers();
-        case Event::member_resets:
-            return proxy.reset_members();
-        case Event::member_drains:
-            return proxy.drain_member();
+        case Event::response:
+            proxy.endpoints_accept_startup = true;
+            return proxy.respond_to_all();
+        case Event::partial_response:
+            return proxy.begin_responses();
+        case Event::endpoint_resets:
+            return proxy.reset_endpoints();
+        case Event::endpoint_drains:
+            return proxy.drain_endpoint();
         case Event::discovery_resets:
             return proxy.reset_discovery();
         case Event::sighup:
@@ -149,22 +149,22 @@
     }
 }
 
-// ---- the guarantees ----
-struct Case {
-    Point point;
+// ---- guarantees ----
+struct TestCase {
+    Stage stage;
     Event first;
     Event second;
     RequestClass request_class;
 
     bool has(Event event) const { return first == event || second == event; }
     bool client_disconnects() const { return has(Event::client_closes) || has(Event::client_resets); }
-    // Whether what the client sent ends in something that is no request.
+    // Whether the client's input ends in bytes that are not a valid request.
     bool client_sends_garbage() const {
         return has(Event::client_sends_garbage) ||
-               (point == Point::partly_sent && has(Event::client_sends_request));
+               (stage == Stage::partly_sent && has(Event::client_sends_request));
     }
     std::string description() const {
-        return std::string(request_class.name) + ", " + name_of(point) + ": " + name_of(first) + ", " +
+        return std::string(request_class.name) + ", " + name_of(stage) + ": " + name_of(first) + ", " +
                name_of(second);
     }
 };
@@ -177,84 +177,86 @@
     return attempts;
 }
 
-void check_answers(ProxyHarness& proxy, const Case& test_case, const Attempts& attempts) {
-    const int answers = proxy.answer_count();
-    EXPECT_LE(answers, proxy.request_count) << "one answer each";
+void check_responses(ProxyHarness& proxy, const TestCase& test_case, const Attempts& attempts) {
+    const int responses = proxy.response_count();
+    EXPECT_LE(responses, proxy.request_count) << "a request got more than one response";
     if (test_case.client_disconnects() || test_case.client_sends_garbage()) return;
-    // While the connection is up every request is answered; once it is closed, every forwarded one has been.
+    // While the connection is open, every request has got its response; once it is closed, every forwarded
+    // one has.
     if (!proxy.client.ended) {
-        EXPECT_EQ(answers, proxy.request_count) << "every accepted request is answered";
+        EXPECT_EQ(responses, proxy.request_count) << "an accepted request got no response";
     }
     for (const auto& [id, queries] : attempts)
-        EXPECT_LE(std::stoi(id.substr(1)), answers) << id << " was forwarded and never answered";
-    // A half-closed client gets its answers, unless SIGTERM came before its requests were read.
+        EXPECT_LE(std::stoi(id.substr(1)), responses) << id << " was forwarded and got no response";
+    // A half-closed client gets its responses, unless SIGTERM arrived before the proxy read its requests.
     if (test_case.has(Event::client_half_closes) && !test_case.has(Event::sigterm)) {
-        EXPECT_EQ(answers, proxy.request_count) << "a half-close is no disconnect";
+        EXPECT_EQ(responses, proxy.request_count) << "a half-close was treated as a disconnect";
     }
 }
 
-void check_cancellation(const ProxyHarness& proxy, const Case& test_case, Time triggered_at,
+void check_cancellation(const ProxyHarness& proxy, const TestCase& test_case, Time events_at,
                         std::size_t queries_before) {
     for (std::size_t i = queries_before; i < proxy.queries.size(); ++i) {
         const auto& query = proxy.queries[i];
         const bool cancelled =
             test_case.client_disconnects() || (test_case.has(Event::client_cancels) && query.id == "r1");
-        EXPECT_TRUE(!cancelled || query.received_at - triggered_at <= kDisconnectTolerance)
-            << query.id << " was forwarded after its client had gone";
+        EXPECT_TRUE(!cancelled || query.received_at - events_at <= kDisconnectTolerance)
+            << query.id << " was forwarded after its client had disconnected or cancelled it";
     }
 }
 
-void check_retries(const Case& test_case, const Attempts& attempts) {
+void check_retries(const TestCase& test_case, const Attempts& attempts) {
     const std::string effect = test_case.request_class.effect;
     for (const auto& [id, queries] : attempts) {
         EXPECT_TRUE(effect != "non_idempotent" || queries.size() == 1) << id << " may have run twice";
         const Micros span = queries.back().received_at - queries.front().received_at;
         EXPECT_TRUE(effect != "idempotency_key" || span < kIdempotencyWindow)
-            << id << " was retried after its window";
+            << id << " was retried after its idempotency window";
     }
 }
 
-void play(const Case& test_case) {
+void play(const TestCase& test_case) {
     SCOPED_TRACE(test_case.description());
     ProxyHarness proxy;
-    bring_to(proxy, test_case.point, test_case.request_class.name);
+    advance_to(proxy, test_case.stage, test_case.request_class.name);
     if (testing::Test::HasFatalFailure()) return;
     trigger(proxy, test_case.first, test_case.request_class.name);
     trigger(proxy, test_case.second, test_case.request_class.name);
-    const Time triggered_at = proxy.clock.now();
+    const Time events_at = proxy.clock.now();
     proxy.receive();
     const auto queries_before = proxy.queries.size();
     proxy.run();
-    // The proxy has read the list: a draining member gets nothing new from here on.
+    // The proxy has read the list: a draining endpoint must get no new query from here on.
     const auto queries_before_list = proxy.queries.size();
-    // Members' connections open late, when clients that have gone must not be served any more.
+    // Connections to endpoints open only now, when requests of disconnected clients must not be forwarded any
+    // more.
     proxy.run_for(2 * kDisconnectTolerance);
-    proxy.members_accept_startup = true;
+    proxy.endpoints_accept_startup = true;
     proxy.run_for(kRequestDeadline);
-    if (test_case.has(Event::member_drains) && !test_case.has(Event::discovery_resets)) {
+    if (test_case.has(Event::endpoint_drains) && !test_case.has(Event::discovery_resets)) {
         for (auto i = queries_before_list; i < proxy.queries.size(); ++i)
-            EXPECT_NE(proxy.queries[i].member, proxy.draining_member)
-                << proxy.queries[i].id << " was forwarded to a draining member";
+            EXPECT_NE(proxy.queries[i].endpoint, proxy.draining_endpoint)
+                << proxy.queries[i].id << " was forwarded to a draining endpoint";
     }
     if (test_case.has(Event::sigterm)) {
         proxy.run_for(kKillTimeout - kRequestDeadline - 2 * kDisconnectTolerance);
-        EXPECT_TRUE(proxy.is_stopped()) << "the process has not ended before it is killed";
+        EXPECT_TRUE(proxy.is_stopped()) << "the process has not ended within the kill time-out";
     }
     const auto attempts = attempts_of(proxy);
-    check_answers(proxy, test_case, attempts);
-    check_cancellation(proxy, test_case, triggered_at, queries_before);
+    check_responses(proxy, test_case, attempts);
+    check_cancellation(proxy, test_case, events_at, queries_before);
     check_retries(test_case, attempts);
 }
 
-class ConcurrentEvents : public testing::TestWithParam<Point> {};
+class ConcurrentEvents : public testing::TestWithParam<Stage> {};
 
-TEST_P(ConcurrentEvents, AnyTwoKeepTheGuarantees) {
+TEST_P(ConcurrentEvents, EveryPairKeepsTheGuarantees) {
     for (const auto& request_class : kRequestClasses)
         for (const auto first : kEvents)
             for (const auto second : kEvents)
                 if (first != second) play({GetParam(), first, second, request_class});
 }
 
-INSTANTIATE_TEST_SUITE_P(AtEachPoint, ConcurrentEvents, testing::ValuesIn(kPoints));
+INSTANTIATE_TEST_SUITE_P(InEachStage, ConcurrentEvents, testing::ValuesIn(kStages));
 
 }  // namespace
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -1,4 +1,4 @@
-// An idle connection that is closed as a request arrives.
+// A request that arrives while the proxy closes its client's idle connection.
 #include <gtest/gtest.h>
 
 #include "proxy_harness.h"
@@ -7,25 +7,25 @@
 
 using namespace integration;
 
-// Both ends shut down at the same time with a request on its way: it is not forwarded.
-TEST(ConnectionClose, ARequestBehindTheShutdownOfAnIdleConnectionIsNotAccepted) {
+// The request arrives after the proxy has shut down the connection: it is not forwarded.
+TEST(ConnectionClose, DropsARequestThatArrivesAfterTheShutdown) {
     ProxyHarness proxy;
     proxy.establish_long_poll();
     proxy.connect();
     proxy.complete_first_request("keyed_write");
-    proxy.clock.advance(11'000'000);  // beyond the idle limit
+    proxy.clock.advance(11'000'000);  // more than the idle limit
     proxy.run_until([&] { return proxy.client.ended; });
-    const auto before = proxy.queries.size();
+    const auto queries_before = proxy.queries.size();
     proxy.send_request("keyed_write");
     proxy.run();
-    EXPECT_FALSE(proxy.client.was_reset()) << "a reset can take the last answer with it";
+    EXPECT_FALSE(proxy.client.was_reset()) << "a reset can make the client lose the last response";
     proxy.run_for(1'500'000);
-    EXPECT_EQ(proxy.queries.size(), before);
-    EXPECT_EQ(proxy.answer_count(), 1);
+    EXPECT_EQ(proxy.queries.size(), queries_before);
+    EXPECT_EQ(proxy.response_count(), 1);
 }
 
-// The other order: the request has arrived when the proxy is about to close, so it is accepted.
-TEST(ConnectionClose, ARequestBeforeTheShutdownOfAnIdleConnectionIsAccepted) {
+// The request arrives just before the proxy would shut down the connection: it is accepted.
+TEST(ConnectionClose, AcceptsARequestThatArrivesBeforeTheShutdown) {
     ProxyHarness proxy;
     proxy.establish_long_poll();
     proxy.connect();
@@ -33,8 +33,8 @@
     proxy.clock.advance(11'000'000);
     proxy.send_request("keyed_write");
     proxy.run_until([&] { return proxy.queries.size() == 2; });
-    proxy.answer_all();
-    proxy.run_until([&] { return proxy.answer_count() == 2; });
+    proxy.respond_to_all();
+    proxy.run_until([&] { return proxy.response_count() == 2; });
     EXPECT_FALSE(proxy.client.ended);
 }
 
--- a/tests/integration/descriptor_limits_test.cpp
+++ b/tests/integration/descriptor_limits_test.cpp
@@ -1,4 +1,4 @@
-// Shares of the file descriptors.
+// Division of the file descriptors between clients and endpoints.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,39 +11,40 @@
 
 using namespace integration;
 
-// Whatever the limit, all shares and the process's own descriptors fit into it.
+// For every limit, the shares and the 16 descriptors that the process itself uses fit into the limit.
 TEST(DescriptorLimits, SharesNeverExceedTheLimit) {
-    for (int all = 64; all < 5000; ++all) {
-        const auto shares = sloestack::net::divide_descriptors(all);
-        EXPECT_LE(shares.total() + 16, all);
-        EXPECT_GE(std::min({shares.clients, shares.upstream, shares.overflow, shares.lingering}), 8) << all;
+    for (int limit = 64; limit < 5000; ++limit) {
+        const auto shares = sloestack::net::divide_descriptors(limit);
+        EXPECT_LE(shares.total() + 16, limit);
+        EXPECT_GE(std::min({shares.clients, shares.upstream, shares.overflow, shares.lingering}), 8) << limit;
     }
 }
 
-// Idle clients use their whole share while discovery is down: discovery and members are still reached.
-TEST(DescriptorLimits, IdleClientsLeaveRoomForDiscoveryAndMembers) {
+// While discovery is down, idle clients fill their share of the descriptors. The proxy must still be able to
+// connect to discovery and to endpoints.
+TEST(DescriptorLimits, IdleClientsLeaveDescriptorsForDiscoveryAndEndpoints) {
     ProxyHarness proxy(make_settings(), 64);
     proxy.establish_long_poll();
-    std::vector<loopback::Peer> idle;
+    std::vector<loopback::Peer> idle_clients;
     proxy.reset_discovery();
     for (int i = 0; i < 120; ++i) {
-        idle.push_back(loopback::connect_to(proxy.port()));
-        idle.back().send(startup_message());
+        idle_clients.push_back(loopback::connect_to(proxy.port()));
+        idle_clients.back().send(startup_message());
         proxy.run_once();
     }
     proxy.clock.advance(100'000);
     proxy.run(40);
-    proxy.establish_long_poll();  // discovery answers again, and is polled
-    proxy.drain_member();         // of the first member
+    proxy.establish_long_poll();  // discovery responds again, and a long poll is pending
+    proxy.drain_endpoint();       // no query has arrived, so this drains the first endpoint
     proxy.run();
     proxy.clock.advance(100'000);
     proxy.run(40);
     proxy.connect();
     proxy.send_request("read");
     proxy.run_until([&] { return !proxy.queries.empty(); });
-    EXPECT_NE(proxy.queries.back().member, proxy.draining_member);
-    proxy.answer_all();
-    proxy.run_until([&] { return proxy.answer_count() == 1; });
+    EXPECT_NE(proxy.queries.back().endpoint, proxy.draining_endpoint);
+    proxy.respond_to_all();
+    proxy.run_until([&] { return proxy.response_count() == 1; });
 }
 
 }  // namespace
--- a/tests/integration/hot_restart_scenarios.cpp
+++ b/tests/integration/hot_restart_scenarios.cpp
@@ -1,4 +1,4 @@
-// A new process takes over from a running one. The scenarios' language is described in scenario.h.
+// Hot restart: a successor takes over from a running process. scenario.h describes the scenario language.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -7,9 +7,9 @@
 
 namespace {
 
-ProxySetup restartable(int descriptors = 1024) {
+ProxySetup hot_restart_setup(int descriptors = 1024) {
     ProxySetup setup;
-    setup.members = 2;
+    setup.endpoint_count = 2;
     setup.descriptors = descriptors;
     setup.inherits_listening_socket = true;
     return setup;
@@ -19,71 +19,71 @@
     std::string lines;
     for (int i = 0; i < count; ++i) {
         const auto client = "c" + std::to_string(i);
-        lines += client + " send startup empty\n" + client + " expect up ready empty ready\n";
+        lines += client + " send startup empty\n" + client + " expect auth_ok ready empty ready\n";
     }
     return lines;
 }
 
-TEST(HotRestart, TheSuccessorTakesOverExclusionsAndClientsAreServedOn) {
-    play(restartable(), R"(
+TEST(HotRestart, SuccessorTakesOverExclusionsAndClients) {
+    play(hot_restart_setup(), R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        o1 send call:POST:/api/exclude?id=m1
+        o1 send request:POST:/api/exclude?id=m1
         o1 expect status:200
-        proxy upgrade
-        n1 send call:GET:/api/telemetry
-        n1 expect status:200 says:"pool_ejected":1,"pool_size":2
-        n2 send call:GET:/api/ready
+        proxy start_successor
+        n1 send request:GET:/api/telemetry
+        n1 expect status:200 body:"pool_ejected":1,"pool_size":2
+        n2 send request:GET:/api/ready
         n2 expect status:200
-        o2 send call:POST:/api/exclude?id=m2
+        o2 send request:POST:/api/exclude?id=m2
         o2 expect status:200
-        n3 send call:GET:/api/telemetry
-        n3 expect status:200 says:"pool_ejected":2
-        n4 send call:POST:/api/include?id=m2
+        n3 send request:GET:/api/telemetry
+        n3 expect status:200 body:"pool_ejected":2
+        n4 send request:POST:/api/include?id=m2
         n4 expect status:200
-        o3 send call:GET:/api/telemetry
-        o3 expect status:200 says:"pool_ejected":1
-        proxy stop
+        o3 send request:GET:/api/telemetry
+        o3 expect status:200 body:"pool_ejected":1
+        proxy stop_predecessor
         b send startup empty
-        b expect up ready empty ready
+        b expect auth_ok ready empty ready
         m1.1 send row:v
         a expect row:v ready end
-        proxy wait over
-        proxy die
+        proxy wait stopped
+        proxy kill
         b send read:2
         m2.1 expect startup
-        m2.1 send up
+        m2.1 send auth_ok
         m2.1 expect query:id=2
         m2.1 send row:w
         b expect row:w ready)");
 }
 
-// Both processes together keep within one process's limits; idle connections are closed first.
-TEST(HotRestart, TheOldProcessHalvesItsShareAndTheNewOneSurvivesItsCrash) {
-    play(restartable(128), idle_clients(40) + R"(
-        proxy upgrade
-        n1 send call:GET:/api/ready
+// During the handover both processes together keep within the limits of one; idle clients are closed first.
+TEST(HotRestart, PredecessorHalvesItsLimitsAndSuccessorSurvivesItsCrash) {
+    play(hot_restart_setup(128), idle_clients(40) + R"(
+        proxy start_successor
+        n1 send request:GET:/api/ready
         n1 expect status:200
         c0 expect end
         c39 send empty
         c39 expect empty ready
-        proxy die
+        proxy kill
         c39 expect end
         b send startup read:1
-        b expect up ready)");
+        b expect auth_ok ready)");
 }
 
-// The socket file of a crashed process must not keep the next one from starting.
-TEST(HotRestart, AnAbandonedSocketIsReplaced) {
-    play(restartable(128), R"(
-        proxy die
+// The hot restart socket that a crashed process leaves behind must not keep the next process from starting.
+TEST(HotRestart, ReplacesTheSocketOfACrashedProcess) {
+    play(hot_restart_setup(128), R"(
+        proxy kill
         b send startup empty
-        b expect up ready empty ready
-        proxy upgrade
-        n1 send call:GET:/api/ready
+        b expect auth_ok ready empty ready
+        proxy start_successor
+        n1 send request:GET:/api/ready
         n1 expect status:200)");
 }
 
--- a/tests/integration/large_value_scenarios.cpp
+++ b/tests/integration/large_value_scenarios.cpp
@@ -1,121 +1,124 @@
-// Values and statements that are passed on in pieces. The scenarios' language is described in scenario.h.
+// Values and statements that are forwarded in chunks. scenario.h describes the scenario language.
 #include <gtest/gtest.h>
 
 #include "scenario.h"
 
 namespace {
 
-// A started answer is streamed to the client at once, and its deadline no longer applies.
-TEST(LargeValue, AStartedAnswerIsStreamedAndNotCutOffAtItsDeadline) {
+// A response whose value has begun is streamed to the client at once, and the deadline no longer applies to
+// it.
+TEST(LargeValue, StreamsAStartedResponseBeyondItsDeadline) {
     play({}, R"(
         a send startup read:1,d=300
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send begin:200000 some:90000
+        m1.1 send row_head:200000 value_bytes:90000
         a wait 500
-        a holding 90000
-        m1.1 send some:110000 finish
+        a await_bytes 90000
+        m1.1 send value_bytes:110000 command_complete
         a expect large:200000 ready
-        o send call:GET:/api/telemetry
-        o expect status:200 says:"view":{"errors":0,"ok":1,"shed":0,"tries":1})");
+        o send request:GET:/api/telemetry
+        o expect status:200 body:"view":{"errors":0,"ok":1,"shed":0,"tries":1})");
 }
 
-TEST(LargeValue, AResetByTheMemberEndsTheClientsConnection) {
-    play(two_members(), R"(
+TEST(LargeValue, ClosesTheClientIfTheEndpointClosesMidValue) {
+    play(two_endpoints(), R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send begin:200000 some:90000
-        a holding 90000
+        m1.1 send row_head:200000 value_bytes:90000
+        a await_bytes 90000
         m1.1 close
         a expect end
-        o send call:GET:/api/telemetry
-        o expect status:200 says:"view":{"errors":1,"ok":0,"shed":0,"tries":1})");
+        o send request:GET:/api/telemetry
+        o expect status:200 body:"view":{"errors":1,"ok":0,"shed":0,"tries":1})");
 }
 
-TEST(LargeValue, AClientThatLeavesEndsTheAttempt) {
+TEST(LargeValue, CancelsTheAttemptIfTheClientDisconnectsMidValue) {
     play({}, R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send begin:200000 some:90000
-        a holding 90000
-        a close hard
+        m1.1 send row_head:200000 value_bytes:90000
+        a await_bytes 90000
+        a close reset
         m1.1 expect end)");
 }
 
-// The bytes wait at the member, not in the proxy, and the member is not taken for hung meanwhile.
-TEST(LargeValue, AMemberIsReadNoFasterThanTheClientReads) {
+// The client reads nothing for a while: the bytes wait at the endpoint instead of in the proxy's memory, and
+// the endpoint is not treated as hung.
+TEST(LargeValue, ReadsTheEndpointNoFasterThanTheClientReads) {
     play({}, R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send begin:4194304 some:4194304
-        m1.1 holds a
+        m1.1 send row_head:4194304 value_bytes:4194304
+        m1.1 check_backpressure a
         a expect large:4194304
-        m1.1 send finish
+        m1.1 send command_complete
         a expect ready)");
 }
 
-// The notice that probes whether a client is still there must not be written into a value.
-TEST(LargeValue, AnEndOfInputPutsNothingIntoTheValue) {
+// The proxy writes a notice to find out whether a half-closed client has disconnected. It must not write it
+// into the middle of a value.
+TEST(LargeValue, AHalfCloseAddsNothingToTheValue) {
     play({}, R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send begin:300000 some:100000
-        a holding 50000
-        a send half
-        m1.1 send some:200000 finish
+        m1.1 send row_head:300000 value_bytes:100000
+        a await_bytes 50000
+        a send half_close
+        m1.1 send value_bytes:200000 command_complete
         a expect large:300000 ready end)");
 }
 
-TEST(LargeValue, ARowLongerThanItsMessageIsRejectedAndRetried) {
-    play(two_members(), R"(
+TEST(LargeValue, RetriesAfterARowLongerThanItsMessage) {
+    play(two_endpoints(), R"(
         a send startup read:1
-        a expect up ready
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send lie
+        m1.1 send oversized_row
         m1.1 expect end
         m2.1 expect startup
-        m2.1 send up
+        m2.1 send auth_ok
         m2.1 expect query:id=1
         m2.1 send row:v
         a expect row:v ready)");
 }
 
-TEST(LargeValue, ALargeStatementPassesWholeWithItsTimeLeftReplaced) {
+TEST(LargeValue, ForwardsALargeStatementWhole) {
     play({}, R"(
-        a send startup big:1:3000000
-        a expect up ready
+        a send startup large_write:1:3000000
+        a expect auth_ok ready
         m1.1 expect startup
-        m1.1 send up
+        m1.1 send auth_ok
         m1.1 expect query:zzy'
         m1.1 send row:v
         a expect row:v ready
-        a send big:2:9000000
+        a send large_write:2:9000000
         a expect error:08P01 end)");
 }
 
-// A small message may take 2 s; an incomplete one is given up 3 s after the connection was opened.
-TEST(LargeValue, ASlowStartupMessageIsRead) {
+// A small message may take 2 s; a start-up message that is still incomplete after 3 s closes the connection.
+TEST(LargeValue, ReadsASlowStartupMessage) {
     play({}, R"(
         a send hex:000000
         a wait 1600
         a send hex:2100030000757365720078006461746162617365007800 hex:00000000000000
-        a expect up)");
+        a expect auth_ok)");
 }
 
 }  // namespace
--- a/tests/integration/loopback.cpp
+++ b/tests/integration/loopback.cpp
@@ -58,8 +58,8 @@
 }
 
 void Peer::reset() {
-    const linger at_once{1, 0};
-    if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_on_close{1, 0};
+    if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
 }
 
--- a/tests/integration/loopback.h
+++ b/tests/integration/loopback.h
@@ -1,5 +1,5 @@
-// Loopback connections for tests: the test's own ends, and a clock that stands still until it is advanced.
-// Nothing here sleeps: conditions are polled, and a limit of real time only ends a hang.
+// Loopback connections for tests, and a clock that only the test advances. Nothing here sleeps: conditions
+// are checked in a loop, and a limit in real time ends a test that hangs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     sloestack::Time time = 1'700'000'000'000'000;
 };
 
-/// The test's end of one connection; owns its socket.
+/// The test's end of a connection to the proxy; owns its socket.
 class Peer {
 public:
     Peer() = default;
@@ -34,9 +34,9 @@
 
     /// Appends what has arrived to `received`.
     void read();
-    /// Whether the kernel has taken all of it.
+    /// Sends without blocking. Returns whether the kernel accepted all of `bytes`.
     bool send(const std::string& bytes);
-    /// Whether the other end has reset the connection.
+    /// Returns whether the other end has reset the connection.
     bool was_reset() const;
     bool is_open() const { return fd_ >= 0; }
     void half_close();
@@ -44,7 +44,7 @@
     void reset();
 
     std::string received;  // not yet consumed
-    bool ended = false;    // by the other end, with or without a reset
+    bool ended = false;    // the other end has closed or reset the connection
 
 private:
     int fd_ = -1;
@@ -53,7 +53,7 @@
 sockaddr_in address(std::uint16_t port);
 Peer connect_to(std::uint16_t port);
 
-/// A listening socket on a free port, and all connections to it.
+/// A listening socket on a free loopback port, and all connections accepted from it.
 class Listener {
 public:
     Listener();
@@ -61,7 +61,7 @@
     Listener& operator=(const Listener&) = delete;
     ~Listener();
 
-    /// Accepts new connections and reads from all.
+    /// Accepts new connections and reads from all connections.
     void receive();
     std::uint16_t port() const { return port_; }
 
@@ -72,7 +72,7 @@
     std::uint16_t port_ = 0;
 };
 
-/// Calls `run_once` until the condition holds; false where it never does.
+/// Calls `run_once` until `condition` returns true. Returns false if that takes more than 30 s of real time.
 template <class RunOnce, class Condition>
 bool run_until(RunOnce run_once, Condition condition) {
     constexpr auto kHangTimeout = std::chrono::seconds(30);
--- a/tests/integration/proxy_harness.cpp
+++ b/tests/integration/proxy_harness.cpp
@@ -28,13 +28,13 @@
     return bytes;
 }
 
-std::string answer_with(const std::string& value) {
+std::string response_with(const std::string& value) {
     return build([&](auto& builder) {
         builder.row_description("data", kTextType, true).data_row(value).complete("SELECT 1").ready();
     });
 }
 
-// The value of a tag in a statement, up to the next comma.
+// Returns the value of a tag in a statement, up to the next comma.
 std::string tag(const std::string& statement, std::string_view name) {
     const auto from = statement.find(name) + name.size();
     return statement.substr(from, statement.find(',', from) - from);
@@ -74,17 +74,17 @@
     return build([](auto& builder) { builder.startup("u", "d"); });
 }
 
-ProxyHarness::ProxyHarness(json settings, int descriptors, bool members_known)
+ProxyHarness::ProxyHarness(json settings, int descriptors, bool endpoints_known)
     : settings_(std::move(settings)),
       descriptors_(descriptors),
-      members_known_(members_known),
+      endpoints_known_(endpoints_known),
       server_(read_config(), clock) {
     std::signal(SIGPIPE, SIG_IGN);  // as the program does
     server_.handle_signals([this] { return read_config(); });
-    for (const auto& member : members_) entries_.push_back(make_entry(member.port(), "in_service"));
+    for (const auto& endpoint : endpoints_) entries_.push_back(make_entry(endpoint.port(), "in_service"));
 }
 
-// ---- the client ----
+// ---- client ----
 
 void ProxyHarness::connect() {
     client = loopback::connect_to(server_.port());
@@ -94,7 +94,7 @@
 
 void ProxyHarness::send_request(const char* request_class) {
     const auto request = make_request(request_class);
-    if (!client.send(request)) --request_count;  // the client has shut its own side down
+    if (!client.send(request)) --request_count;  // the client has closed its side or the connection
 }
 
 std::string ProxyHarness::make_request(const char* request_class, Micros deadline) {
@@ -109,8 +109,8 @@
 void ProxyHarness::complete_first_request(const char* request_class) {
     send_request(request_class);
     run_until([this] { return !queries.empty(); });
-    answer_all();
-    run_until([this] { return answer_count() == 1; });
+    respond_to_all();
+    run_until([this] { return response_count() == 1; });
 }
 
 void ProxyHarness::cancel() {
@@ -122,49 +122,49 @@
     cancelling_client_.send(bytes);
 }
 
-// ---- members ----
+// ---- endpoints ----
 
-void ProxyHarness::answer_all() {
+void ProxyHarness::respond_to_all() {
     receive();
-    for (auto& [peer, id] : std::exchange(pending_queries_, {})) peer->send(answer_with("v"));
+    for (auto& [peer, id] : std::exchange(pending_queries_, {})) peer->send(response_with("v"));
 }
 
-void ProxyHarness::answer(const std::string& id) {
+void ProxyHarness::respond_to(const std::string& id) {
     receive();
     const auto query = std::find_if(pending_queries_.begin(), pending_queries_.end(),
                                     [&](const auto& pending) { return pending.second == id; });
     if (query == pending_queries_.end()) return;
-    query->first->send(answer_with(id + "!"));
+    query->first->send(response_with(id + "!"));
     pending_queries_.erase(query);
 }
 
-void ProxyHarness::begin_answers() {
+void ProxyHarness::begin_responses() {
     for (auto& [peer, id] : pending_queries_)
         peer->send(build([](auto& builder) { builder.row_description("data", kTextType, true); }));
 }
 
-void ProxyHarness::reset_members() {
-    for (auto& member : members_)
-        for (auto& peer : member.peers) peer.reset();
+void ProxyHarness::reset_endpoints() {
+    for (auto& endpoint : endpoints_)
+        for (auto& peer : endpoint.peers) peer.reset();
     pending_queries_.clear();
 }
 
-void ProxyHarness::drain_member() {
-    draining_member = queries.empty() ? 0 : queries.back().member;
-    entries_[static_cast<std::size_t>(draining_member)]["phase"] = "terminating";
+void ProxyHarness::drain_endpoint() {
+    draining_endpoint = queries.empty() ? 0 : queries.back().endpoint;
+    entries_[static_cast<std::size_t>(draining_endpoint)]["phase"] = "terminating";
     ++list_revision_;
     send_endpoint_list();
 }
 
-// Reads start-up messages and queries of the proxy.
-void ProxyHarness::receive_from_member(int number, Peer& peer) {
+// Reads the proxy's start-up messages and queries on a connection to endpoint `number`.
+void ProxyHarness::receive_from_endpoint(int number, Peer& peer) {
     if (peer.ended || !peer.is_open()) {
         pending_queries_.erase(&peer);
         return;
     }
     if (!started_peers_.count(&peer)) {
         const auto message = peer.received.empty() ? std::nullopt : pgwire::next_startup(peer.received);
-        if (!message || !members_accept_startup) return;
+        if (!message || !endpoints_accept_startup) return;
         peer.received.erase(0, message->size);
         started_peers_.insert(&peer);
         peer.send(
@@ -176,10 +176,10 @@
     }
 }
 
-void ProxyHarness::receive_query(int member, Peer& peer, const pgwire::Message& message) {
+void ProxyHarness::receive_query(int endpoint, Peer& peer, const pgwire::Message& message) {
     const std::string statement(pgwire::Fields(message.body).text());
     const Micros time_left = std::stol(tag(statement, ",d=")) * 1000;
-    queries.push_back({member, tag(statement, "id="), clock.now(), time_left});
+    queries.push_back({endpoint, tag(statement, "id="), clock.now(), time_left});
     pending_queries_[&peer] = queries.back().id;
 }
 
@@ -197,7 +197,7 @@
     });
 }
 
-// A poll that waits for a change; `wait_ms=1` asks for an answer at once.
+// A long poll waits for a change; a poll with `wait_ms=1` asks for a response at once.
 bool ProxyHarness::long_poll_pending() const {
     return std::any_of(discovery_.peers.begin(), discovery_.peers.end(), [](const Peer& peer) {
         return peer.received.find("wait_ms=") != std::string::npos &&
@@ -205,7 +205,7 @@
     });
 }
 
-// Long polls are answered when there is a change, all others at once.
+// Responds to long polls once the list has changed, and to all other polls at once.
 void ProxyHarness::serve_discovery() {
     if (!long_poll_pending() || sent_revision_ < list_revision_) send_endpoint_list();
 }
@@ -233,8 +233,9 @@
 
 sloestack::config::Config ProxyHarness::read_config() {
     json known = {{"revision", 1}, {"complete", true}, {"members", json::array()}};
-    for (const auto& member : members_) known["members"].push_back(make_entry(member.port(), "in_service"));
-    if (!members_known_) known = nullptr;
+    for (const auto& endpoint : endpoints_)
+        known["members"].push_back(make_entry(endpoint.port(), "in_service"));
+    if (!endpoints_known_) known = nullptr;
     const json file = {{"name", "t"},
                        {"listen", "127.0.0.1:0"},
                        {"discovery", "127.0.0.1:" + std::to_string(discovery_.port())},
@@ -259,7 +260,7 @@
 void ProxyHarness::run_for(Micros duration, Micros step) {
     for (const Time end = clock.now() + duration; clock.now() < end; clock.advance(step)) {
         run(3);
-        answer_all();
+        respond_to_all();
         serve_discovery();
         run(3);
         if (server_.is_stopped()) return;
@@ -267,9 +268,9 @@
 }
 
 void ProxyHarness::receive() {
-    for (std::size_t i = 0; i < members_.size(); ++i) {
-        members_[i].receive();
-        for (auto& peer : members_[i].peers) receive_from_member(static_cast<int>(i), peer);
+    for (std::size_t i = 0; i < endpoints_.size(); ++i) {
+        endpoints_[i].receive();
+        for (auto& peer : endpoints_[i].peers) receive_from_endpoint(static_cast<int>(i), peer);
     }
     discovery_.receive();
     client.read();
@@ -277,33 +278,33 @@
 
 // ---- observations ----
 
-// Also takes the key for cancel requests.
-int ProxyHarness::answer_count() {
+// Also stores the client's BackendKeyData, for cancel requests.
+int ProxyHarness::response_count() {
     client.read();
-    int answers = 0;
-    bool answer_begun = false;
+    int responses = 0;
+    bool response_begun = false;
     std::string_view unread = client.received;
     try {
         while (const auto message = pgwire::next_message(unread)) {
-            if (message->type == 'C' || message->type == 'E') answer_begun = true;
+            if (message->type == 'C' || message->type == 'E') response_begun = true;
             if (message->type == 'K') {
                 pgwire::Fields fields(message->body);
                 cancel_key_.first = fields.int32();
                 cancel_key_.second = fields.int32();
             }
-            if (message->type == 'Z' && answer_begun) {
-                ++answers;
-                answer_begun = false;
+            if (message->type == 'Z' && response_begun) {
+                ++responses;
+                response_begun = false;
             }
             unread.remove_prefix(message->size);
         }
     } catch (const pgwire::BadMessage&) {
     }
-    return answers;
+    return responses;
 }
 
 int ProxyHarness::ready_count() {
-    answer_count();
+    response_count();
     return static_cast<int>(std::count(client.received.begin(), client.received.end(), 'Z'));
 }
 
--- a/tests/integration/proxy_harness.h
+++ b/tests/integration/proxy_harness.h
@@ -1,4 +1,5 @@
-// A whole proxy on the test's own clock, with one client, two members and discovery played by the test.
+// Runs a complete proxy with a clock that the test advances. The test acts as one client, two endpoints and
+// discovery.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -24,13 +25,13 @@
 
 constexpr Micros kRequestDeadline = 2'000'000;
 constexpr Micros kIdempotencyWindow = 600'000;
-/// After a client has gone, its requests may still be forwarded for so long.
+/// For this long after a client has disconnected, its requests may still be forwarded.
 constexpr Micros kDisconnectTolerance = 100'000;
-/// From SIGTERM to the moment in which the platform kills the process.
+/// Time from SIGTERM until the platform kills the process.
 constexpr Micros kKillTimeout = kRequestDeadline + 700'000;
 constexpr int kDefaultDescriptors = 256;
 
-/// A request class of the deploy file; the tests' classes differ in their effect alone.
+/// A request class of the deploy file. The tests' classes differ only in their effect.
 struct RequestClass {
     const char* name;
     const char* effect;
@@ -38,78 +39,78 @@
 constexpr RequestClass kRequestClasses[] = {
     {"read", "read_like"}, {"keyed_write", "idempotency_key"}, {"plain_write", "non_idempotent"}};
 
-/// The settings of a deploy file with these classes, in this order.
+/// Returns the settings of a deploy file with these classes, in this order.
 nlohmann::json make_settings(const std::vector<RequestClass>& classes = {std::begin(kRequestClasses),
                                                                          std::end(kRequestClasses)});
 
-/// A client's start-up message.
+/// Returns the start-up message of a client.
 std::string startup_message();
 
-/// A query that a member has received.
+/// A query that an endpoint has received.
 struct ReceivedQuery {
-    int member;
+    int endpoint;
     std::string id;
     Time received_at;
-    Micros time_left;  // until the deadline, as the member is told
+    Micros time_left;  // until the deadline, as stated in the query
 };
 
 class ProxyHarness {
 public:
     explicit ProxyHarness(nlohmann::json settings = make_settings(), int descriptors = kDefaultDescriptors,
-                          bool members_known = true);
+                          bool endpoints_known = true);
 
-    // ---- the client ----
-    /// Connects `client` and waits until it may send queries.
+    // ---- client ----
+    /// Connects `client` and waits for its first ReadyForQuery.
     void connect();
     /// Sends a request with the next id: r1, r2 and so on.
     void send_request(const char* request_class);
-    /// The bytes of a request with the next id, for the test to send.
+    /// Returns the bytes of a request with the next id, for the test to send.
     std::string make_request(const char* request_class, Micros deadline = kRequestDeadline);
-    /// Sends the client's first request and has it answered.
+    /// Sends the client's first request and waits for its response.
     void complete_first_request(const char* request_class);
-    /// A cancel request, on a connection of its own.
+    /// Sends a CancelRequest for the client's session, on a separate connection.
     void cancel();
 
-    // ---- members ----
-    /// Answers all queries that have arrived.
-    void answer_all();
-    /// Answers the query with this id.
-    void answer(const std::string& id);
-    /// Sends the first half of each answer.
-    void begin_answers();
-    void reset_members();
-    /// Drains the member that received the last query, or the first member.
-    void drain_member();
+    // ---- endpoints ----
+    /// Responds to all queries that have arrived.
+    void respond_to_all();
+    /// Responds to the query with this id, if it has arrived.
+    void respond_to(const std::string& id);
+    /// Sends the first message of each pending response (RowDescription).
+    void begin_responses();
+    void reset_endpoints();
+    /// Drains the endpoint that received the last query, or the first endpoint if none has received one.
+    void drain_endpoint();
 
     // ---- discovery ----
     void reset_discovery();
-    /// Lets the first poll end and waits until a long poll is pending.
+    /// Responds to polls until a long poll is pending.
     void establish_long_poll();
 
     // ---- time ----
-    /// One iteration of the proxy's event loop; then all parties read.
+    /// Runs one event-loop iteration of the proxy; then the test's connections read.
     void run_once();
     void run(int iterations = 12);
     template <class Condition>
     void run_until(Condition condition) {
         ASSERT_TRUE(loopback::run_until([this] { run_once(); }, condition));
     }
-    /// Advances the clock in small steps; members and discovery answer what arrives.
+    /// Advances the clock in steps of `step`; endpoints and discovery respond to what arrives.
     void run_for(Micros duration, Micros step = 10'000);
-    /// All parties read what has arrived.
+    /// The test's connections read what has arrived.
     void receive();
 
     // ---- observations ----
     bool is_stopped() const { return server_.is_stopped(); }
     std::uint16_t port() const { return server_.port(); }
-    /// Complete answers that the client has received.
-    int answer_count();
+    /// Returns the number of complete responses that the client has received.
+    int response_count();
 
     loopback::ManualClock clock;
     loopback::Peer client;
     int request_count = 0;
-    int draining_member = -1;
-    bool members_accept_startup = true;
+    int draining_endpoint = -1;
+    bool endpoints_accept_startup = true;
     std::vector<ReceivedQuery> queries;
 
 private:
@@ -117,19 +118,19 @@
     bool long_poll_pending() const;
     static nlohmann::json make_entry(std::uint16_t port, const char* phase);
     sloestack::config::Config read_config();
-    void receive_from_member(int number, loopback::Peer& peer);
-    void receive_query(int member, loopback::Peer& peer, const sloestack::pgwire::Message& message);
+    void receive_from_endpoint(int number, loopback::Peer& peer);
+    void receive_query(int endpoint, loopback::Peer& peer, const sloestack::pgwire::Message& message);
     void serve_discovery();
     void send_endpoint_list();
 
     nlohmann::json settings_;
     int descriptors_;
-    bool members_known_;
-    std::vector<loopback::Listener> members_{2};
+    bool endpoints_known_;
+    std::vector<loopback::Listener> endpoints_{2};
     loopback::Listener discovery_;
     std::vector<nlohmann::json> entries_;
-    std::map<loopback::Peer*, std::string> pending_queries_;  // their ids
-    std::set<loopback::Peer*> started_peers_;                 // members' connections past the start-up
+    std::map<loopback::Peer*, std::string> pending_queries_;  // request ids by endpoint connection
+    std::set<loopback::Peer*> started_peers_;                 // endpoint connections after their start-up
     std::pair<std::uint32_t, std::uint32_t> cancel_key_;
     loopback::Peer cancelling_client_;
     int list_revision_ = 1;
--- a/tests/integration/scenario.cpp
+++ b/tests/integration/scenario.cpp
@@ -27,13 +27,13 @@
 
 namespace {
 
-// What the proxy may buffer of an answer that its client does not read: the window of a session, one read
-// more (net::kReadAtOnce), and the heads before a value.
-constexpr std::uint64_t kMostBuffered = 64 * 1024 + 64 * 1024 + 1024;
-constexpr auto kHangTimeout = std::chrono::seconds(60);  // only a hang takes this long
-constexpr int kIdleTurns = 100;  // after so many without a read the proxy has stopped reading
-constexpr std::ptrdiff_t kFewMessages = 200;
-constexpr std::size_t kLongestExcerpt = 300;
+// What the proxy may buffer of a response that its client does not read: the window of a session, one more
+// read (net::kReadAtOnce), and the messages before the value.
+constexpr std::uint64_t kMaxBufferedBytes = 64 * 1024 + 64 * 1024 + 1024;
+constexpr auto kHangTimeout = std::chrono::seconds(60);  // ends a test that hangs
+constexpr int kMaxIdleIterations = 100;  // after more iterations without a read the proxy has stopped reading
+constexpr std::ptrdiff_t kMaxEarlyMessages = 200;
+constexpr std::size_t kMaxExcerptBytes = 300;
 
 class ScenarioRunner {
 public:
@@ -48,25 +48,25 @@
         std::vector<std::string> words;
         for (std::string word; in >> word;) words.push_back(word);
         if (actor == "proxy") return run_proxy_line(verb, words.empty() ? "" : words[0]);
-        if (verb == "wait" && words.at(0) != "here") return wait_for(std::stoi(words[0]));
+        if (verb == "wait" && words.at(0) != "connected") return wait_for(std::stoi(words[0]));
         run_peer_line(peer(actor), actor, verb, words);
     }
 
 private:
     void run_proxy_line(const std::string& verb, const std::string& word) {
-        if (verb == "close") {
+        if (verb == "sigterm") {
             raise(SIGTERM);
-        } else if (verb == "upgrade") {
+        } else if (verb == "start_successor") {
             proxy_.start_successor();
-            run_until([&] { return proxy_.successor_ready(); }, "the successor");
-        } else if (verb == "stop") {
+            run_until([&] { return proxy_.is_successor_ready(); }, "the successor to be ready");
+        } else if (verb == "stop_predecessor") {
             proxy_.stop();
-        } else if (verb == "die") {
+        } else if (verb == "kill") {
             proxy_.kill();
         } else if (verb == "reload") {
             proxy_.reload(word);
         } else if (verb == "wait") {
-            run_until([&] { return proxy_.over(); }, "the proxy's end");
+            run_until([&] { return proxy_.is_stopped(); }, "the proxy to end");
         } else {
             fail("unknown verb " + verb);
         }
@@ -78,21 +78,21 @@
             for (const auto& word : words) send(peer, actor, word);
         } else if (verb == "expect") {
             for (const auto& word : words) expect(peer, actor, word);
-        } else if (verb == "behind") {
+        } else if (verb == "expect_few_messages") {
             check_few_messages(peer);
-        } else if (verb == "holds") {
+        } else if (verb == "check_backpressure") {
             check_backpressure(peer, this->peer(words.at(0)));
-        } else if (verb == "holding") {
+        } else if (verb == "await_bytes") {
             wait_for_bytes(peer, std::stoul(words.at(0)));
         } else if (verb == "close") {
             peer.close(!words.empty());
-        } else if (verb != "wait") {  // `wait here`: the connection exists
+        } else if (verb != "wait") {  // `wait connected`: peer() has waited
             fail("unknown verb " + verb);
         }
     }
 
-    [[noreturn]] void fail(const std::string& why) const {
-        throw std::runtime_error("\"" + line_ + "\": " + why);
+    [[noreturn]] void fail(const std::string& reason) const {
+        throw std::runtime_error("\"" + line_ + "\": " + reason);
     }
 
     // ---- the event loop ----
@@ -102,10 +102,10 @@
     }
 
     template <class Condition>
-    void run_until(Condition condition, const std::string& what) {
+    void run_until(Condition condition, const std::string& awaited) {
         const auto deadline = std::chrono::steady_clock::now() + kHangTimeout;
         while (!condition()) {
-            if (std::chrono::steady_clock::now() > deadline) fail("never came: " + what);
+            if (std::chrono::steady_clock::now() > deadline) fail("timed out waiting for " + awaited);
             run_once();
             accept_connections();
         }
@@ -113,15 +113,15 @@
 
     void wait_for(int milliseconds) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
-        run_until([&] { return std::chrono::steady_clock::now() >= end; }, "time");
+        run_until([&] { return std::chrono::steady_clock::now() >= end; }, "the time to pass");
     }
 
     void wait_for_bytes(ScenarioPeer& peer, std::size_t count) {
-        const auto arrived = [&] {
+        const auto have_arrived = [&] {
             peer.read();
             return peer.incoming.size() >= count;
         };
-        run_until(arrived, "so many bytes");
+        run_until(have_arrived, "the number of bytes");
     }
 
     // ---- connections ----
@@ -130,16 +130,17 @@
             for (;;) {
                 const int fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK);
                 if (fd < 0) break;
-                // Without the kernel's delay, so that what a line sends has arrived when the next one runs.
+                // Disables Nagle's algorithm, so that what a line sends has arrived when the next line runs.
                 const int on = 1;
                 setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
                 setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &kSmallBuffer, sizeof kSmallBuffer);
-                const int number = ++accepted_[name];
+                const int number = ++connection_counts_[name];
                 peers_[name + "." + std::to_string(number)].fd = fd;
             }
     }
 
-    // The actor's connection: a client or an operator connects, all others are waited for.
+    // Returns the actor's connection. Clients and operators connect if they have not yet; the proxy opens all
+    // other connections, so they are waited for.
     ScenarioPeer& peer(const std::string& actor) {
         if (actor.find('.') != std::string::npos) {
             run_until([&] { return peers_.count(actor) > 0; }, "connection " + actor);
@@ -169,9 +170,9 @@
     // ---- verbs ----
     void send(ScenarioPeer& peer, const std::string& actor, const std::string& word) {
         const auto [kind, text] = split(word, ':');
-        if (kind == "half") {
+        if (kind == "half_close") {
             shutdown(peer.fd, SHUT_WR);
-        } else if (kind == "some") {
+        } else if (kind == "value_bytes") {
             peer.outgoing.append(std::string(std::stoul(text), 'v'));
             peer.write();
         } else if (kind == "list") {
@@ -183,7 +184,7 @@
         }
     }
 
-    // Stops where the proxy has closed the connection; the next `expect` shows it.
+    // Returns early if the proxy has closed the connection; the next `expect` sees that.
     void send_bytes(ScenarioPeer& peer, const std::string& bytes) {
         for (std::size_t sent = 0; sent < bytes.size();) {
             const auto count =
@@ -199,63 +200,65 @@
 
     std::string endpoint_list(const std::string& text) const {
         const auto [revision, rest] = split(text, ':');
-        const auto [kind, members_text] = split(rest, ':');
-        json members = json::array();
-        std::istringstream in(members_text);
-        for (std::string member; std::getline(in, member, ',');) {
-            const auto [name, phase] = split(member, '=');
-            members.push_back(proxy_.entry(name));
-            members.back()["phase"] = phase;
+        const auto [kind, entries_text] = split(rest, ':');
+        json endpoints = json::array();
+        std::istringstream in(entries_text);
+        for (std::string endpoint; std::getline(in, endpoint, ',');) {
+            const auto [name, phase] = split(endpoint, '=');
+            endpoints.push_back(proxy_.entry(name));
+            endpoints.back()["phase"] = phase;
         }
         const json list = {
-            {"revision", std::stoi(revision)}, {"complete", kind == "full"}, {"members", members}};
+            {"revision", std::stoi(revision)}, {"complete", kind == "full"}, {"members", endpoints}};
         return list.dump();
     }
 
     void expect(ScenarioPeer& peer, const std::string& actor, const std::string& word) {
-        std::optional<std::string> arrived;
+        std::optional<std::string> received;
         const auto has_arrived = [&] {
-            arrived = take_word(peer, actor);
-            return arrived.has_value();
+            received = take_word(peer, actor);
+            return received.has_value();
         };
         run_until(has_arrived, word);
-        if (!matches(word, *arrived))
-            fail("expected " + word + ", got " + arrived->substr(0, kLongestExcerpt));
+        if (!matches(word, *received))
+            fail("expected " + word + ", got " + received->substr(0, kMaxExcerptBytes));
     }
 
-    // Not all answers to a client's many commands have come: the proxy serves other clients in between.
+    // Most responses to a client's many messages are still missing: the proxy serves other clients in
+    // between.
     void check_few_messages(ScenarioPeer& peer) const {
         peer.read();
         const auto messages = std::count(peer.incoming.begin(), peer.incoming.end(), 'Z');
-        if (messages > kFewMessages) fail(std::to_string(messages) + " messages have come already");
+        if (messages > kMaxEarlyMessages) fail(std::to_string(messages) + " messages have arrived already");
     }
 
-    // Compares what the proxy has read from the member with what it has written to the client. What has left
-    // the member would not tell: the kernel alone can hold several MiB, as its buffers grow while the proxy
-    // reads. The one ahead of the client is kept small, so that a proxy that reads on has to buffer the rest
-    // itself.
-    void check_backpressure(ScenarioPeer& member, ScenarioPeer& client) {
-        const int upstream = other_end(member.fd);
+    // Compares the bytes that the proxy has read from the endpoint with those that it has written to the
+    // client. The bytes that the endpoint has sent are no measure: the kernel's receive buffer grows to
+    // several MiB while the proxy reads. The proxy's send buffer to the client is kept small, so that a proxy
+    // that reads on has to buffer the rest itself.
+    void check_backpressure(ScenarioPeer& endpoint, ScenarioPeer& client) {
+        const int upstream = other_end(endpoint.fd);
         const int downstream = other_end(client.fd);
-        if (upstream < 0 || downstream < 0) fail("no connection of the proxy");
+        if (upstream < 0 || downstream < 0)
+            fail("the proxy has no connection to the endpoint or to the client");
         CHECK(setsockopt(downstream, SOL_SOCKET, SO_SNDBUF, &kSmallBuffer, sizeof kSmallBuffer) == 0);
         std::uint64_t read_before = 0;
-        int idle_turns = 0;
+        int idle_iterations = 0;
         const auto has_stopped_reading = [&] {
             const auto from = flow_at(upstream);
             const auto to = flow_at(downstream);
-            if (from.read > to.written + kMostBuffered)
+            if (from.read > to.written + kMaxBufferedBytes)
                 fail(std::to_string(from.read - to.written) + " bytes are buffered by the proxy");
             const bool reads = from.read != std::exchange(read_before, from.read);
-            idle_turns = reads || from.unread == 0 ? 0 : idle_turns + 1;
-            return idle_turns > kIdleTurns;
+            idle_iterations = reads || from.unread == 0 ? 0 : idle_iterations + 1;
+            return idle_iterations > kMaxIdleIterations;
         };
-        run_until(has_stopped_reading, "bytes that the proxy leaves with the kernel");
+        run_until(has_stopped_reading, "the proxy to stop reading from the endpoint");
     }
 
     ScenarioProxy proxy_;
     std::string line_;
-    std::map<std::string, int> accepted_;  // connections by listener
+    std::map<std::string, int> connection_counts_;  // accepted connections by listener
     std::map<std::string, ScenarioPeer> peers_;
 };
 
--- a/tests/integration/scenario_peer.cpp
+++ b/tests/integration/scenario_peer.cpp
@@ -38,8 +38,8 @@
 
 void ScenarioPeer::close(bool reset) {
     if (reset) {
-        const linger at_once{1, 0};
-        setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        const linger reset_on_close{1, 0};
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     }
     ::close(std::exchange(fd, -1));
 }
--- a/tests/integration/scenario_proxy.cpp
+++ b/tests/integration/scenario_proxy.cpp
@@ -44,8 +44,8 @@
 
 std::string loopback_address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-json make_entry(const std::string& member, std::uint16_t port, bool is_primary) {
-    return {{"id", member},          {"host_port", loopback_address(port)},
+json make_entry(const std::string& endpoint, std::uint16_t port, bool is_primary) {
+    return {{"id", endpoint},        {"host_port", loopback_address(port)},
             {"locality", "here"},    {"cell", 0},
             {"phase", "in_service"}, {"role", is_primary ? "primary" : "replica"},
             {"up_since_ms", 0}};
@@ -55,28 +55,29 @@
 
 ScenarioProxy::ScenarioProxy(const ProxySetup& setup) {
     std::signal(SIGPIPE, SIG_IGN);  // as the program does
-    json members = json::array();
+    json endpoints = json::array();
     std::uint16_t port = 0;
-    for (int i = 1; i <= setup.members; ++i) {
-        const auto member = "m" + std::to_string(i);
-        listeners_[member] = listen_on_loopback(port);
-        entries_[member] = make_entry(member, port, i == 1);
-        if (setup.members_known) members.push_back(entries_[member]);
+    for (int i = 1; i <= setup.endpoint_count; ++i) {
+        const auto endpoint = "m" + std::to_string(i);
+        listeners_[endpoint] = listen_on_loopback(port);
+        entries_[endpoint] = make_entry(endpoint, port, i == 1);
+        if (setup.endpoints_known) endpoints.push_back(entries_[endpoint]);
     }
     listeners_["d2"] = listen_on_loopback(port);
-    second_discovery_ = loopback_address(port);
+    second_discovery_address_ = loopback_address(port);
     listeners_["d"] = listen_on_loopback(port);
     auto settings = default_settings();
     settings.merge_patch(setup.settings);
-    deploy_file_ = {{"name", "test"},
-                    {"listen", "127.0.0.1:0"},
-                    {"control", "127.0.0.1:0"},
-                    {"discovery", loopback_address(port)},
-                    {"at_start", loopback_address(port)},
-                    {"seed", "7"},
-                    {"limits", {{"sockets", setup.descriptors}, {"memory_mb", 48}}},
-                    {"known", {{"revision", setup.list_revision}, {"complete", true}, {"members", members}}},
-                    {"settings", settings}};
+    deploy_file_ = {
+        {"name", "test"},
+        {"listen", "127.0.0.1:0"},
+        {"control", "127.0.0.1:0"},
+        {"discovery", loopback_address(port)},
+        {"at_start", loopback_address(port)},
+        {"seed", "7"},
+        {"limits", {{"sockets", setup.descriptors}, {"memory_mb", 48}}},
+        {"known", {{"revision", setup.list_revision}, {"complete", true}, {"members", endpoints}}},
+        {"settings", settings}};
     if (setup.inherits_listening_socket) {
         inherited_socket_ = listen_on_loopback(port);
         char folder[] = "/tmp/sloestack-test-XXXXXX";
@@ -96,9 +97,9 @@
 }
 
 void ScenarioProxy::run_once() {
-    constexpr int kLongestWaitUs = 1000;
-    server_->run_iteration(kLongestWaitUs);
-    if (successor_) successor_->run_iteration(kLongestWaitUs);
+    constexpr int kMaxWaitUs = 1000;
+    server_->run_iteration(kMaxWaitUs);
+    if (successor_) successor_->run_iteration(kMaxWaitUs);
 }
 
 void ScenarioProxy::start_successor() { successor_ = make_server(); }
@@ -108,19 +109,20 @@
     server_ = successor_ ? std::move(successor_) : make_server();
 }
 
-void ScenarioProxy::reload(const std::string& file) {
-    if (file == "d2") deploy_file_["discovery"] = second_discovery_;
-    if (file == "same") deploy_file_["discovery"] = deploy_file_["at_start"];
-    if (file == "nonsense") deploy_file_["discovery"] = "nowhere";
+void ScenarioProxy::reload(const std::string& change) {
+    if (change == "d2") deploy_file_["discovery"] = second_discovery_address_;
+    if (change == "unchanged") deploy_file_["discovery"] = deploy_file_["at_start"];
+    if (change == "invalid") deploy_file_["discovery"] = "nowhere";
     raise(SIGHUP);
 }
 
 std::unique_ptr<Server> ScenarioProxy::make_server() const { return std::make_unique<Server>(read_config()); }
 
-// The environment names discovery too, as it does in service; it cannot change while the process runs.
+// As in production, the environment contains the discovery address too, and cannot change while the process
+// runs.
 sloestack::config::Config ScenarioProxy::read_config() const {
     const auto at_start = deploy_file_.at("at_start").get<std::string>();
-    // Each process has a descriptor of its own of the inherited socket.
+    // Each process gets its own descriptor of the inherited socket.
     const auto socket = inherited_socket_ < 0 ? std::string() : std::to_string(dup(inherited_socket_));
     return sloestack::config::parse(deploy_file_, [&](const char* name) -> const char* {
         const std::string_view variable = name;
--- a/tests/integration/scenario_proxy.h
+++ b/tests/integration/scenario_proxy.h
@@ -1,4 +1,4 @@
-// The proxy that scenarios are played against, with the listening sockets of its members and of discovery.
+// The proxy that scenarios are played against, and the listening sockets of its endpoints and of discovery.
 #pragma once
 
 #include <cstdint>
@@ -17,24 +17,26 @@
     ScenarioProxy& operator=(const ScenarioProxy&) = delete;
     ~ScenarioProxy();
 
-    /// One iteration of the event loop of the proxy, and of its successor where there is one.
+    /// Runs one event-loop iteration of the proxy, and one of its successor if there is one.
     void run_once();
     void start_successor();
-    bool successor_ready() const { return successor_->ready(); }
-    /// Ends the first process at once; its successor takes its place, or a new process where there is none.
+    bool is_successor_ready() const { return successor_->ready(); }
+    /// Ends the first process at once. Its successor takes its place, or a new process if there is no
+    /// successor.
     void kill();
     void stop() { server_->stop(); }
-    bool over() const { return server_->is_stopped(); }
-    /// SIGHUP with another deploy file: `d2`, `same` or `nonsense`.
-    void reload(const std::string& file);
+    bool is_stopped() const { return server_->is_stopped(); }
+    /// Sends SIGHUP after changing the deploy file. `change` is `d2`, `unchanged` or `invalid` (see
+    /// scenario.h).
+    void reload(const std::string& change);
 
     std::uint16_t client_port() const { return newest().port(); }
     std::uint16_t admin_port() const { return server_->control_port(); }
     std::uint16_t newest_admin_port() const { return newest().control_port(); }
-    /// Listening sockets by actor: m1, m2 and so on, d and d2.
+    /// Listening sockets by name: m1, m2 and so on, d and d2.
     const std::map<std::string, int>& listeners() const { return listeners_; }
-    /// The entry of a member in endpoint lists, in service.
-    const nlohmann::json& entry(const std::string& member) const { return entries_.at(member); }
+    /// Returns the entry of an endpoint in endpoint lists, with the phase in_service.
+    const nlohmann::json& entry(const std::string& endpoint) const { return entries_.at(endpoint); }
 
 private:
     const sloestack::server::Server& newest() const { return successor_ ? *successor_ : *server_; }
@@ -42,11 +44,11 @@
     sloestack::config::Config read_config() const;
 
     nlohmann::json deploy_file_;
-    std::string second_discovery_;  // its address
+    std::string second_discovery_address_;
     std::map<std::string, int> listeners_;
     std::map<std::string, nlohmann::json> entries_;
     int inherited_socket_ = -1;
-    std::string scratch_folder_;  // of the sockets between a process and its successor
+    std::string scratch_folder_;  // contains the hot restart socket
     std::unique_ptr<sloestack::server::Server> server_;
     std::unique_ptr<sloestack::server::Server> successor_;
 };
--- a/tests/integration/scenario_words.cpp
+++ b/tests/integration/scenario_words.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int kTextType = 25;                 // PostgreSQL's type id of text
-constexpr std::size_t kFloodBytes = 4 << 20;  // more than any message may have
+constexpr int kTextType = 25;                   // PostgreSQL's type id of text
+constexpr std::size_t kGarbageBytes = 4 << 20;  // more than the size limit of a message
 constexpr std::size_t kLargeValueBytes = 1000;
 
 std::string from_hex(const std::string& digits) {
@@ -28,16 +28,17 @@
     return bytes;
 }
 
-// `tags` is the request's id, and behind a comma further tags as they stand.
+// Returns a statement of the request class `view` (a read) or `change` (a write). `tags` is the request id,
+// followed by a comma and further tags that are copied as they are.
 std::string statement(const std::string& kind, const std::string& tags) {
-    const auto [id, more] = split(tags, ',');
+    const auto [id, other_tags] = split(tags, ',');
     const bool is_read = kind == "read";
     std::string sql = is_read ? "SELECT data FROM facts WHERE code = 'x' "
                               : "INSERT INTO facts (code, data) VALUES ('x', 'y') ";
     sql += "/* id=" + id + ",c=" + (is_read ? "view" : "change");
-    if (more.find("d=") == std::string::npos) sql += ",d=60000";
+    if (other_tags.find("d=") == std::string::npos) sql += ",d=60000";
     sql += ",cluster=0";
-    if (!more.empty()) sql += "," + more;
+    if (!other_tags.empty()) sql += "," + other_tags;
     return sql + " */";
 }
 
@@ -51,7 +52,7 @@
     return query(sql.insert(sql.find("'y'") + 1, std::stoul(size), 'z'));
 }
 
-std::string query_of_words(std::string sql) {
+std::string query_from_word(std::string sql) {
     for (auto& character : sql)
         if (character == '_') character = ' ';
     return query(sql);
@@ -62,23 +63,23 @@
         [&](auto& builder) { builder.row_description("data", kTextType, true).data_row_head(value_bytes); });
 }
 
-std::string unfinished_row(const std::string& value) {
+std::string row_without_ready(const std::string& value) {
     return build([&](auto& builder) {
         builder.row_description("data", kTextType, true).data_row(value).complete("SELECT 1");
     });
 }
 
 std::string row(const std::string& value) {
-    return unfinished_row(value) + build([](auto& builder) { builder.ready(); });
+    return row_without_ready(value) + build([](auto& builder) { builder.ready(); });
 }
 
-std::string row_longer_than_its_message() {
+std::string oversized_row() {
     auto bytes = row_head(100'000);
     bytes.back() = 1;
     return bytes;
 }
 
-std::string http_call(const std::string& text) {
+std::string http_request(const std::string& text) {
     const auto [method, path] = split(text, ':');
     return method + " " + path + " HTTP/1.1\r\nHost: test\r\n\r\n";
 }
@@ -91,36 +92,37 @@
         {"startup", [](auto&) { return build([](auto& builder) { builder.startup("portal", "crm"); }); }},
         {"ssl", [](auto&) { return from_hex("0000000804d2162f"); }},
         {"empty", [](auto&) { return query(""); }},
-        {"bye", [](auto&) { return from_hex("5800000004"); }},
-        {"ext", [](auto&) { return from_hex("500000000800000000") + from_hex("5300000004"); }},
+        {"terminate", [](auto&) { return from_hex("5800000004"); }},
+        {"extended_query", [](auto&) { return from_hex("500000000800000000") + from_hex("5300000004"); }},
         {"hex", from_hex},
-        {"flood", [](auto&) { return std::string(kFloodBytes, 'x'); }},
+        {"garbage", [](auto&) { return std::string(kGarbageBytes, 'x'); }},
         {"read", [](auto& text) { return query(statement("read", text)); }},
         {"write", [](auto& text) { return query(statement("write", text)); }},
-        {"big", large_write},
-        {"sql", query_of_words},
-        // members
-        {"up",
+        {"large_write", large_write},
+        {"sql", query_from_word},
+        // endpoints
+        {"auth_ok",
          [](auto&) {
              return build(
                  [](auto& builder) { builder.authentication_ok().parameter("role", "replica").ready(); });
          }},
         {"role", [](auto& text) { return build([&](auto& builder) { builder.parameter("role", text); }); }},
-        {"at",
+        {"applied_ms",
          [](auto& text) { return build([&](auto& builder) { builder.parameter("applied_ms", text); }); }},
         {"row", row},
-        {"unready", unfinished_row},
+        {"row_without_ready", row_without_ready},
         {"large", [](auto& text) { return row(std::string(std::stoul(text), 'v')); }},
-        {"begin", [](auto& text) { return row_head(std::stoul(text)); }},
-        {"lie", [](auto&) { return row_longer_than_its_message(); }},
-        {"finish", [](auto&) { return build([](auto& builder) { builder.complete("SELECT 1").ready(); }); }},
+        {"row_head", [](auto& text) { return row_head(std::stoul(text)); }},
+        {"oversized_row", [](auto&) { return oversized_row(); }},
+        {"command_complete",
+         [](auto&) { return build([](auto& builder) { builder.complete("SELECT 1").ready(); }); }},
         {"error",
          [](auto& text) {
              return build([&](auto& builder) { builder.error("ERROR", text, "test").ready(); });
          }},
         // operators and discovery
-        {"call", http_call},
-        {"part", [](auto& text) { return text; }},
+        {"request", http_request},
+        {"partial", [](auto& text) { return text; }},
         {"status", [](auto& text) { return "HTTP/1.1 " + text + " Odd\r\nContent-Length: 0\r\n\r\n"; }},
     };
     return kEncoders;
@@ -131,18 +133,18 @@
     return "end";
 }
 
-std::optional<std::string> take_discovery_call(ScenarioPeer& peer) {
+std::optional<std::string> take_poll(ScenarioPeer& peer) {
     constexpr std::string_view kEndOfHead = "\r\n\r\n";
     const auto end = peer.incoming.find(kEndOfHead);
     if (end == std::string::npos) return end_if_closed(peer);
-    const auto call = peer.incoming.substr(0, peer.incoming.find(" HTTP"));
+    const auto request_line = peer.incoming.substr(0, peer.incoming.find(" HTTP"));
     peer.incoming.erase(0, end + kEndOfHead.size());
-    const bool complete_list = call.find('?') == std::string::npos;
-    return "call:" + call + (complete_list ? " whole" : "");
+    const bool is_complete_list = request_line.find('?') == std::string::npos;
+    return "poll:" + request_line + (is_complete_list ? " complete" : "");
 }
 
-// The answer ends with the connection.
-std::optional<std::string> take_admin_answer(ScenarioPeer& peer) {
+// The admin server closes the connection after its response.
+std::optional<std::string> take_admin_response(ScenarioPeer& peer) {
     if (!peer.ended) return std::nullopt;
     if (peer.incoming.empty()) return "end";
     if (!peer.started) {
@@ -151,7 +153,7 @@
     }
     const auto body = peer.incoming.substr(peer.incoming.find("\r\n\r\n") + 4);
     peer.incoming.clear();
-    return "says:" + body;
+    return "body:" + body;
 }
 
 std::string error_word(pgwire::Fields& body) {
@@ -168,14 +170,14 @@
     return "row:" + value;
 }
 
-// The word for a message; empty for one that scenarios skip.
-std::string word_for(const pgwire::Message& message) {
+// Returns the word for a message; an empty word if scenarios skip it.
+std::string word_of(const pgwire::Message& message) {
     pgwire::Fields body(message.body);
     switch (message.type) {
         case 'Q':
             return "query:" + std::string(body.text());
         case 'R':
-            return "up";
+            return "auth_ok";
         case 'D':
             return row_word(body);
         case 'I':
@@ -191,7 +193,7 @@
 
 std::optional<std::string> take_pgwire_message(ScenarioPeer& peer) {
     while (const auto message = pgwire::next_message(peer.incoming)) {
-        const auto word = word_for(*message);
+        const auto word = word_of(*message);
         if (message->type == 'R') peer.started = true;
         peer.incoming.erase(0, message->size);
         if (!word.empty()) return word;
@@ -199,11 +201,11 @@
     return end_if_closed(peer);
 }
 
-std::optional<std::string> take_startup(ScenarioPeer& member) {
-    const auto message = pgwire::next_startup(member.incoming);
-    if (!message) return end_if_closed(member);
-    member.started = true;
-    member.incoming.erase(0, message->size);
+std::optional<std::string> take_startup(ScenarioPeer& endpoint) {
+    const auto message = pgwire::next_startup(endpoint.incoming);
+    if (!message) return end_if_closed(endpoint);
+    endpoint.started = true;
+    endpoint.incoming.erase(0, message->size);
     return "startup";
 }
 
@@ -222,24 +224,24 @@
 
 std::optional<std::string> take_word(ScenarioPeer& peer, const std::string& actor) {
     peer.read();
-    if (actor[0] == 'd') return take_discovery_call(peer);
-    if (actor[0] == 'o' || actor[0] == 'n') return take_admin_answer(peer);
-    const bool is_member = actor.find('.') != std::string::npos;
-    if (is_member && !peer.started) return take_startup(peer);
-    if (!is_member && !peer.started && peer.incoming.substr(0, 1) == "N") {
+    if (actor[0] == 'd') return take_poll(peer);
+    if (actor[0] == 'o' || actor[0] == 'n') return take_admin_response(peer);
+    const bool is_endpoint = actor.find('.') != std::string::npos;
+    if (is_endpoint && !peer.started) return take_startup(peer);
+    if (!is_endpoint && !peer.started && peer.incoming.substr(0, 1) == "N") {
         peer.incoming.erase(0, 1);
         return "N";
     }
     return take_pgwire_message(peer);
 }
 
-bool matches(const std::string& expected, const std::string& arrived) {
+bool matches(const std::string& expected, const std::string& received) {
     const auto [kind, part] = split(expected, ':');
-    const auto [arrived_kind, arrived_text] = split(arrived, ':');
-    if (expected == "refused:advised")
-        return arrived_kind == "error" && arrived_text.substr(0, 6) == "53300:" && arrived_text[6] != '0';
+    const auto [received_kind, received_text] = split(received, ':');
+    if (expected == "rejected:retry_after")
+        return received_kind == "error" && received_text.substr(0, 6) == "53300:" && received_text[6] != '0';
     const bool is_code_alone = kind == "error" && part.size() == 5;
-    const bool contains = kind == "query" || kind == "call" || kind == "says" || is_code_alone;
-    if (!contains) return arrived == expected;
-    return arrived_kind == kind && arrived_text.find(part) != std::string::npos;
+    const bool contains = kind == "query" || kind == "poll" || kind == "body" || is_code_alone;
+    if (!contains) return received == expected;
+    return received_kind == kind && received_text.find(part) != std::string::npos;
 }
--- a/tests/integration/scenario_words.h
+++ b/tests/integration/scenario_words.h
@@ -1,4 +1,5 @@
-// The words of a scenario as bytes on the wire, and what has arrived as words. scenario.h lists them.
+// Translates the words of scenarios to bytes on the wire, and received messages to words. scenario.h lists
+// the words.
 #pragma once
 
 #include <optional>
@@ -6,15 +7,16 @@
 
 #include "scenario_peer.h"
 
-/// The bytes that `send` puts on the wire for a word; nothing for a word that is unknown here. The words
-/// `half`, `some` and `list` are the runner's, as they need more than the word.
+/// Returns the bytes that `send` writes for a word; std::nullopt if the word is unknown. ScenarioRunner
+/// handles `half_close`, `value_bytes` and `list` itself, as they need more than the word.
 std::optional<std::string> encode_word(const std::string& word);
 
-/// An HTTP response with this body.
+/// Returns an HTTP response with this body.
 std::string http_response(const std::string& body);
 
-/// Takes the next message that has arrived for the actor, as a word; nothing while it is incomplete.
+/// Consumes the next message that the actor has received and returns it as a word; std::nullopt if none is
+/// complete.
 std::optional<std::string> take_word(ScenarioPeer& peer, const std::string& actor);
 
-/// Whether a word that has arrived is what a scenario expects.
-bool matches(const std::string& expected, const std::string& arrived);
+/// Returns whether a received message, as a word, is what a scenario expects.
+bool matches(const std::string& expected, const std::string& received);
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// SIGTERM at each stage of a process.
+// SIGTERM in different states of the process.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -12,27 +12,27 @@
 
 using namespace integration;
 
-// Runs until the platform would kill the process, and checks that it has ended by then.
-void run_until_killed(ProxyHarness& proxy) {
-    for (Micros passed = 0; passed < kKillTimeout && !proxy.is_stopped(); passed += 10'000) {
+// Runs the proxy until the platform would kill the process, and checks that the process has ended by then.
+void run_until_kill_timeout(ProxyHarness& proxy) {
+    for (Micros elapsed = 0; elapsed < kKillTimeout && !proxy.is_stopped(); elapsed += 10'000) {
         proxy.run(3);
         proxy.clock.advance(10'000);
     }
     EXPECT_TRUE(proxy.is_stopped());
 }
 
-TEST(Shutdown, BeforeTheFirstListEndsAtOnce) {
+TEST(Shutdown, EndsAtOnceBeforeTheFirstList) {
     ProxyHarness proxy(make_settings(), kDefaultDescriptors, false);
     raise(SIGTERM);
-    run_until_killed(proxy);
+    run_until_kill_timeout(proxy);
 }
 
-TEST(Shutdown, BeforeTheFirstAnswerOfALocalAgentEndsAtOnce) {
-    auto pushed = make_settings();
-    pushed["discovery"] = "pushed";
-    ProxyHarness proxy(pushed);
+TEST(Shutdown, EndsAtOnceBeforeTheFirstListOfALocalAgent) {
+    auto settings = make_settings();
+    settings["discovery"] = "pushed";
+    ProxyHarness proxy(settings);
     raise(SIGTERM);
-    run_until_killed(proxy);
+    run_until_kill_timeout(proxy);
 }
 
 TEST(Shutdown, RepeatedSignalsEndTheProcessOnce) {
@@ -47,14 +47,14 @@
     proxy.run();
     raise(SIGTERM);
     proxy.run();
-    proxy.answer_all();
-    proxy.run_until([&] { return proxy.answer_count() == 1; });
-    run_until_killed(proxy);
+    proxy.respond_to_all();
+    proxy.run_until([&] { return proxy.response_count() == 1; });
+    run_until_kill_timeout(proxy);
     EXPECT_TRUE(proxy.client.ended);
 }
 
-// No member answers any more: accepted requests fail before the process is killed.
-TEST(Shutdown, WithHungMembersAllAcceptedRequestsAreAnswered) {
+// No endpoint responds any more: accepted requests must fail before the process is killed.
+TEST(Shutdown, RespondsToAcceptedRequestsIfEndpointsHang) {
     for (const auto& request_class : kRequestClasses) {
         ProxyHarness proxy;
         proxy.establish_long_poll();
@@ -62,36 +62,36 @@
         proxy.send_request(request_class.name);
         proxy.run_until([&] { return !proxy.queries.empty(); });
         raise(SIGTERM);
-        run_until_killed(proxy);
-        EXPECT_EQ(proxy.answer_count(), 1) << request_class.name;
+        run_until_kill_timeout(proxy);
+        EXPECT_EQ(proxy.response_count(), 1) << request_class.name;
         EXPECT_TRUE(proxy.client.ended);
     }
 }
 
-// The client keeps sending while its connection is open: each request is answered, or was not forwarded at
-// all.
-TEST(Shutdown, AClientThatKeepsSendingLosesNothing) {
+// A client keeps sending requests until its connection closes: every request that was forwarded must get its
+// response.
+TEST(Shutdown, RespondsToAClientThatKeepsSending) {
     ProxyHarness proxy;
     proxy.establish_long_poll();
     proxy.connect();
     raise(SIGTERM);
-    for (Micros passed = 0; passed < kKillTimeout && !proxy.is_stopped(); passed += 10'000) {
-        if (!proxy.client.ended && proxy.answer_count() == proxy.request_count)
+    for (Micros elapsed = 0; elapsed < kKillTimeout && !proxy.is_stopped(); elapsed += 10'000) {
+        if (!proxy.client.ended && proxy.response_count() == proxy.request_count)
             proxy.send_request("keyed_write");
         proxy.run(4);
-        proxy.answer_all();
+        proxy.respond_to_all();
         proxy.run(4);
         proxy.clock.advance(10'000);
     }
     EXPECT_TRUE(proxy.is_stopped());
-    EXPECT_GT(proxy.answer_count(), 50);
+    EXPECT_GT(proxy.response_count(), 50);
     for (const auto& query : proxy.queries)
-        EXPECT_LE(std::stoi(query.id.substr(1)), proxy.answer_count()) << query.id;
+        EXPECT_LE(std::stoi(query.id.substr(1)), proxy.response_count()) << query.id;
 }
 
-// All descriptors for clients are in use, so one more connection waits in the kernel's backlog when the
-// listener closes.
-TEST(Shutdown, ConnectionsInTheBacklogAreAnsweredBeforeTheListenerCloses) {
+// All descriptors for clients are in use, so one more connection waits in the kernel's accept queue when the
+// listener closes. It must be rejected instead of reset.
+TEST(Shutdown, RejectsConnectionsInTheAcceptQueueBeforeTheListenerCloses) {
     ProxyHarness proxy(make_settings(), 64);
     proxy.establish_long_poll();
     const auto startup = startup_message();
@@ -100,20 +100,21 @@
     for (int i = 0; i < shares.clients + shares.overflow; ++i) {
         busy.push_back(loopback::connect_to(proxy.port()));
         busy.back().send(startup +
-                         proxy.make_request("read").substr(0, 20));  // incomplete, so it makes no room
+                         proxy.make_request("read").substr(0, 20));  // incomplete: does not count as idle
         proxy.run();
     }
     auto last = loopback::connect_to(proxy.port());
     last.send(startup + proxy.make_request("read"));
     proxy.run();
     last.read();
-    ASSERT_TRUE(last.received.empty()) << "it has not been accepted";
+    ASSERT_TRUE(last.received.empty()) << "the connection was accepted too early";
     raise(SIGTERM);
     proxy.run();
-    proxy.clock.advance(650'000);  // the listener closes now
+    proxy.clock.advance(650'000);  // the time at which the listener closes
     proxy.run(40);
     last.read();
-    EXPECT_NE(last.received.find("53300"), std::string::npos) << "it is rejected with a Retry-After";
+    EXPECT_NE(last.received.find("53300"), std::string::npos)
+        << "the connection was not rejected with a Retry-After";
     proxy.run_for(kKillTimeout);
     EXPECT_TRUE(proxy.is_stopped());
 }
--- a/tests/integration/socket_flow.cpp
+++ b/tests/integration/socket_flow.cpp
@@ -16,10 +16,10 @@
 
 using Address = std::pair<in_addr_t, in_port_t>;
 
-Address address(int fd, decltype(getsockname)* of) {
+Address address(int fd, decltype(getsockname)* get_name) {
     sockaddr_in at{};
     socklen_t size = sizeof at;
-    if (of(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0 || at.sin_family != AF_INET) return {};
+    if (get_name(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0 || at.sin_family != AF_INET) return {};
     return {at.sin_addr.s_addr, at.sin_port};
 }
 
@@ -33,17 +33,17 @@
     CHECK(getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) == 0);
     CHECK(size >= offsetof(tcp_info, tcpi_bytes_received) + sizeof info.tcpi_bytes_received);
     CHECK(ioctl(fd, SIOCINQ, &unread) == 0);
-    const auto waiting = static_cast<std::uint64_t>(unread);
+    const auto unread_bytes = static_cast<std::uint64_t>(unread);
     const auto received = static_cast<std::uint64_t>(info.tcpi_bytes_received);
-    return {received > waiting ? received - waiting : 0, waiting,
+    return {received > unread_bytes ? received - unread_bytes : 0, unread_bytes,
             info.tcpi_bytes_acked + static_cast<std::uint64_t>(unacked)};
 }
 
 int other_end(int fd) {
     const auto here = address(fd, getsockname), there = address(fd, getpeername);
-    rlimit most{};
-    CHECK(getrlimit(RLIMIT_NOFILE, &most) == 0);
-    for (int other = 0; other < static_cast<int>(most.rlim_cur); ++other)
+    rlimit limit{};
+    CHECK(getrlimit(RLIMIT_NOFILE, &limit) == 0);
+    for (int other = 0; other < static_cast<int>(limit.rlim_cur); ++other)
         if (other != fd && address(other, getsockname) == there && address(other, getpeername) == here)
             return other;
     return -1;
