--- a/tests/rehearse_test.sh
+++ b/tests/rehearse_test.sh
@@ -18,7 +18,7 @@
 }
 # expect_output TEXT: fails unless the output of the last command contains TEXT.
 expect_output() { grep -q -- "$1" "$folder/out" "$folder/err" || { cat "$folder/out" "$folder/err"; fail "output does not contain: $1"; }; }
-make_recording() { exits 0 "$ctl" pcap make --minutes 0.2 --rate 100 --clients 40 -o "$folder/a.pcap" "$@"; }
+make_recording() { expect_exit 0 "$ctl" pcap make --minutes 0.2 --rate 100 --clients 40 -o "$folder/a.pcap" "$@"; }
 # The rules get a second of slack, so that the result does not depend on the machine's other load. A proxy that breaks
 # them is still found, because drains and lags last two seconds or more.
 rehearse() {
