--- a/tests/integration/client_protocol_scenarios.cpp
+++ b/tests/integration/client_protocol_scenarios.cpp
@@ -19,7 +19,7 @@
         m1.2 expect startup
         m1.2 send auth_ok
         m1.2 expect query:id=2
-        m1.2 send row_head:200000 value_bytes:90000
+        m1.2 send row_header:200000 value_bytes:90000
         a wait 50
         m1.1 send row:first
         a expect row:first ready
--- a/tests/integration/large_value_scenarios.cpp
+++ b/tests/integration/large_value_scenarios.cpp
@@ -14,7 +14,7 @@
         m1.1 expect startup
         m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send row_head:200000 value_bytes:90000
+        m1.1 send row_header:200000 value_bytes:90000
         a wait 500
         a await_bytes 90000
         m1.1 send value_bytes:110000 command_complete
@@ -30,7 +30,7 @@
         m1.1 expect startup
         m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send row_head:200000 value_bytes:90000
+        m1.1 send row_header:200000 value_bytes:90000
         a await_bytes 90000
         m1.1 close
         a expect end
@@ -45,7 +45,7 @@
         m1.1 expect startup
         m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send row_head:200000 value_bytes:90000
+        m1.1 send row_header:200000 value_bytes:90000
         a await_bytes 90000
         a close reset
         m1.1 expect end)");
@@ -60,7 +60,7 @@
         m1.1 expect startup
         m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send row_head:4194304 value_bytes:4194304
+        m1.1 send row_header:4194304 value_bytes:4194304
         m1.1 check_backpressure a
         a expect large:4194304
         m1.1 send command_complete
@@ -76,7 +76,7 @@
         m1.1 expect startup
         m1.1 send auth_ok
         m1.1 expect query:id=1
-        m1.1 send row_head:300000 value_bytes:100000
+        m1.1 send row_header:300000 value_bytes:100000
         a await_bytes 50000
         a send half_close
         m1.1 send value_bytes:200000 command_complete
--- a/tests/integration/scenario.h
+++ b/tests/integration/scenario.h
@@ -61,10 +61,10 @@
 //   row:VALUE                 a complete response with this value
 //   large:BYTES               a complete response with a value of this size
 //   row_without_ready:VALUE   a response without its ReadyForQuery
-//   row_head:BYTES            RowDescription and the head of a DataRow whose value has this size
+//   row_header:BYTES          RowDescription and the header of a DataRow whose value has this size
 //   value_bytes:BYTES         so many bytes of that value; sent as fast as the proxy reads them
 //   command_complete          CommandComplete and ReadyForQuery, the end of a response
-//   oversized_row             the head of a DataRow whose value is longer than its message
+//   oversized_row             the header of a DataRow whose value is longer than its message
 //   error:SQLSTATE            ErrorResponse and ReadyForQuery
 // for discovery:
 //   list:REVISION:full:NAME=PHASE,...      a complete endpoint list
--- a/tests/integration/scenario_words.cpp
+++ b/tests/integration/scenario_words.cpp
@@ -58,23 +58,24 @@
     return query(sql);
 }
 
-std::string row_head(std::size_t value_bytes) {
-    return build(
-        [&](auto& builder) { builder.row_description("data", kTextType, true).data_row_head(value_bytes); });
+std::string row_header(std::size_t value_bytes) {
+    return build([&](auto& builder) {
+        builder.row_description("data", kTextType, true).data_row_header(value_bytes);
+    });
 }
 
 std::string row_without_ready(const std::string& value) {
     return build([&](auto& builder) {
-        builder.row_description("data", kTextType, true).data_row(value).complete("SELECT 1");
+        builder.row_description("data", kTextType, true).data_row(value).command_complete("SELECT 1");
     });
 }
 
 std::string row(const std::string& value) {
-    return row_without_ready(value) + build([](auto& builder) { builder.ready(); });
+    return row_without_ready(value) + build([](auto& builder) { builder.ready_for_query(); });
 }
 
 std::string oversized_row() {
-    auto bytes = row_head(100'000);
+    auto bytes = row_header(100'000);
     bytes.back() = 1;
     return bytes;
 }
@@ -89,7 +90,8 @@
 const std::map<std::string, Encoder>& encoders() {
     static const std::map<std::string, Encoder> kEncoders = {
         // clients
-        {"startup", [](auto&) { return build([](auto& builder) { builder.startup("portal", "crm"); }); }},
+        {"startup",
+         [](auto&) { return build([](auto& builder) { builder.startup_message("portal", "crm"); }); }},
         {"ssl", [](auto&) { return from_hex("0000000804d2162f"); }},
         {"empty", [](auto&) { return query(""); }},
         {"terminate", [](auto&) { return from_hex("5800000004"); }},
@@ -103,22 +105,29 @@
         // endpoints
         {"auth_ok",
          [](auto&) {
-             return build(
-                 [](auto& builder) { builder.authentication_ok().parameter("role", "replica").ready(); });
+             return build([](auto& builder) {
+                 builder.authentication_ok().parameter_status("role", "replica").ready_for_query();
+             });
          }},
-        {"role", [](auto& text) { return build([&](auto& builder) { builder.parameter("role", text); }); }},
+        {"role",
+         [](auto& text) { return build([&](auto& builder) { builder.parameter_status("role", text); }); }},
         {"applied_ms",
-         [](auto& text) { return build([&](auto& builder) { builder.parameter("applied_ms", text); }); }},
+         [](auto& text) {
+             return build([&](auto& builder) { builder.parameter_status("applied_ms", text); });
+         }},
         {"row", row},
         {"row_without_ready", row_without_ready},
         {"large", [](auto& text) { return row(std::string(std::stoul(text), 'v')); }},
-        {"row_head", [](auto& text) { return row_head(std::stoul(text)); }},
+        {"row_header", [](auto& text) { return row_header(std::stoul(text)); }},
         {"oversized_row", [](auto&) { return oversized_row(); }},
         {"command_complete",
-         [](auto&) { return build([](auto& builder) { builder.complete("SELECT 1").ready(); }); }},
+         [](auto&) {
+             return build([](auto& builder) { builder.command_complete("SELECT 1").ready_for_query(); });
+         }},
         {"error",
          [](auto& text) {
-             return build([&](auto& builder) { builder.error("ERROR", text, "test").ready(); });
+             return build(
+                 [&](auto& builder) { builder.error_response("ERROR", text, "test").ready_for_query(); });
          }},
         // operators and discovery
         {"request", http_request},
@@ -156,14 +165,14 @@
     return "body:" + body;
 }
 
-std::string error_word(pgwire::Fields& body) {
+std::string error_word(pgwire::FieldReader& body) {
     std::map<char, std::string> fields;
     while (const char field = static_cast<char>(body.byte())) fields[field] = body.text();
     const std::string detail = fields.count('D') ? ":" + fields['D'] : "";
     return "error:" + fields['C'] + detail;
 }
 
-std::string row_word(pgwire::Fields& body) {
+std::string row_word(pgwire::FieldReader& body) {
     body.int16();
     const std::string value(body.bytes(body.int32()));
     if (value.size() + 4 > kLargeValueBytes) return "large:" + std::to_string(value.size());
@@ -172,7 +181,7 @@
 
 // Returns the word for a message; an empty word if scenarios skip it.
 std::string word_of(const pgwire::Message& message) {
-    pgwire::Fields body(message.body);
+    pgwire::FieldReader body(message.body);
     switch (message.type) {
         case 'Q':
             return "query:" + std::string(body.text());
