--- a/src/downstream/sessions/response_writer.h
+++ b/src/downstream/sessions/response_writer.h
@@ -21,8 +21,8 @@
     virtual void response_written() = 0;
     // The last open query has its response.
     virtual void all_responses_written() = 0;
-    // A response that was written in part will not be completed; only closing the connection tells the
-    // client.
+    // A response that was written in part will not be completed. The connection must be closed, which is the
+    // only sign of that for the client.
     virtual void response_incomplete() = 0;
     virtual bool client_disconnected() = 0;
 
