--- a/fault_harness/channel.h
+++ b/fault_harness/channel.h
@@ -1,4 +1,4 @@
-// Lines of text between the conductor and its parts, over a socket pair.
+// Text lines exchanged between the conductor and its child processes over a socket pair.
 #pragma once
 
 #include <functional>
@@ -11,10 +11,11 @@
 
 class Channel final : public sloestack::net::ConnectionEvents {
 public:
-    // `line` is called for each line without its end, `ended` once when the other side has gone.
-    Channel(sloestack::net::Loop& loop, int fd, std::function<void(const std::string&)> line,
-            std::function<void()> ended);
-    void say(const std::string& line) {
+    // Takes ownership of socket `fd`. Calls `on_line` for each received line, without its line feed, and
+    // `on_ended` once when the peer closes the connection.
+    Channel(sloestack::net::Loop& loop, int fd, std::function<void(const std::string&)> on_line,
+            std::function<void()> on_ended);
+    void send_line(const std::string& line) {
         if (connection_) connection_->write(line + "\n");
     }
     void close() { connection_.reset(); }
@@ -23,8 +24,8 @@
     void ended(sloestack::net::ConnectionEnd) override;
 
 private:
-    std::function<void(const std::string&)> line_;
-    std::function<void()> ended_;
+    std::function<void(const std::string&)> on_line_;
+    std::function<void()> on_ended_;
     std::unique_ptr<sloestack::net::Connection> connection_;
 };
 
--- a/fault_harness/compare.cpp
+++ b/fault_harness/compare.cpp
@@ -15,10 +15,11 @@
 
 using nlohmann::json;
 
-// Two-sided 95 % points of Student's t by degrees of freedom from 1; beyond the table the normal's.
-constexpr double kT[] = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
-                         2.201,  2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086};
-constexpr double kNormal = 1.96;
+// Two-sided 95 % quantiles of Student's t distribution for 1, 2, ... degrees of freedom; above the table the
+// quantile of the normal distribution is used.
+constexpr double kStudentT95[] = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
+                                  2.201,  2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086};
+constexpr double kNormal95 = 1.96;
 
 std::optional<double> number(const json& in, std::initializer_list<const char*> path) {
     const json* at = &in;
@@ -40,12 +41,12 @@
     double squares = 0;
     for (const auto v : values) squares += (v - out.mean) * (v - out.mean);
     const auto n = static_cast<double>(values.size());
-    const double t = values.size() - 2 < std::size(kT) ? kT[values.size() - 2] : kNormal;
-    out.half = t * std::sqrt(squares / (n - 1) / n);
+    const double t = values.size() - 2 < std::size(kStudentT95) ? kStudentT95[values.size() - 2] : kNormal95;
+    out.half_width = t * std::sqrt(squares / (n - 1) / n);
     return out;
 }
 
-std::vector<std::pair<std::string, std::optional<double>>> compared(const json& f) {
+std::vector<std::pair<std::string, std::optional<double>>> compared_figures(const json& f) {
     std::vector<std::pair<std::string, std::optional<double>>> out;
     const auto add = [&](const char* name, std::initializer_list<const char*> path) {
         out.emplace_back(name, number(f, path));
@@ -75,19 +76,19 @@
 }
 
 std::vector<Row> compare(const std::vector<Sample>& samples, const std::vector<std::string>& names) {
-    // By what is compared: each build's value of each seed.
-    std::map<std::pair<std::string, int>, std::vector<std::string>> order;
+    // `figure_order`: figure names by scenario and proxies. `values`: by figure, then build and seed.
+    std::map<std::pair<std::string, int>, std::vector<std::string>> figure_order;
     std::map<std::tuple<std::string, int, std::string>,
              std::map<std::string, std::map<std::uint64_t, double>>>
         values;
     for (const auto& s : samples)
-        for (const auto& [figure, value] : compared(s.figures)) {
-            auto& figures = order[{s.scenario, s.proxies}];
+        for (const auto& [figure, value] : compared_figures(s.figures)) {
+            auto& figures = figure_order[{s.scenario, s.proxies}];
             if (std::find(figures.begin(), figures.end(), figure) == figures.end()) figures.push_back(figure);
             if (value) values[{s.scenario, s.proxies, figure}][s.build][s.seed] = *value;
         }
     std::vector<Row> out;
-    for (const auto& [where, figures] : order)
+    for (const auto& [where, figures] : figure_order)
         for (const auto& figure : figures) {
             auto& of = values[{where.first, where.second, figure}];
             Row row{where.first, figure, where.second, {}, {}};
@@ -128,7 +129,8 @@
         }
         if (!s.figures.is_object())
             throw std::invalid_argument(file.path().string() +
-                                        " is no report BUILD.SCENARIO.PROXIES.SEED.json");
+                                        " is not a report: the name must be "
+                                        "BUILD.SCENARIO.PROXIES.SEED.json, the content a JSON object");
         out.push_back(std::move(s));
     }
     return out;
--- a/fault_harness/compare.h
+++ b/fault_harness/compare.h
@@ -1,4 +1,4 @@
-// Runs of two builds on the same seeds, compared pair by pair. Pure.
+// Compares the reports of two builds by means, and pairwise on the seeds that both ran.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,14 +10,15 @@
 namespace fault_harness {
 
 struct Interval {
-    double mean = 0,
-           half = 0;  // mean and half the width of its 95 % interval; 0 width where one value says none
+    // `half_width`: half the width of the 95 % confidence interval of the mean; 0 for fewer than two values.
+    double mean = 0, half_width = 0;
     std::size_t count = 0;
 };
-// Of values taken to be independent, by Student's t.
+// Returns the mean and its confidence interval by Student's t distribution; assumes independent values.
 Interval interval(const std::vector<double>& values);
 
-struct Sample {  // one run's report
+// The report of one run.
+struct Sample {
     std::string build, scenario;
     int proxies = 0;
     std::uint64_t seed = 0;
@@ -26,14 +27,15 @@
 struct Row {
     std::string scenario, figure;
     int proxies = 0;
-    std::vector<Interval> builds;  // as `names` has them
-    Interval change;               // of the second against the first, on the seeds that both have
+    std::vector<Interval> builds;  // in the order of `names`
+    Interval change;               // second build minus first, on the seeds that both have
 };
-// What is compared of a report, by name; nothing where the run has none of it.
-std::vector<std::pair<std::string, std::optional<double>>> compared(const nlohmann::json& figures);
+// Returns the figures of a report that are compared, by name; std::nullopt if the report lacks the figure.
+std::vector<std::pair<std::string, std::optional<double>>> compared_figures(const nlohmann::json& figures);
 std::vector<Row> compare(const std::vector<Sample>& samples, const std::vector<std::string>& names);
 
-// Files BUILD.SCENARIO.PROXIES.SEED.json in a folder; throws std::invalid_argument naming one that is none.
+// Reads the files BUILD.SCENARIO.PROXIES.SEED.json in `folder`. Throws std::invalid_argument naming the file
+// if one has another name or is not a JSON object.
 std::vector<Sample> read_samples(const std::string& folder);
 
 }  // namespace fault_harness
--- a/fault_harness/conductor.cpp
+++ b/fault_harness/conductor.cpp
@@ -17,14 +17,14 @@
 namespace {
 
 using emulator::What;
-constexpr Micros kComesUp = 120'000'000, kGoesDown = 60'000'000;  // these only end a hang
-constexpr Micros kStartsIn = 500'000;
-constexpr Micros kLongestTurn = 100'000;
+constexpr Micros kStartTimeoutUs = 120'000'000, kStopTimeoutUs = 60'000'000;  // only bound a hang
+constexpr Micros kStartDelayUs = 500'000;
+constexpr Micros kMaxIterationUs = 100'000;
 constexpr int kFirstBlock = 64, kLastBlock = 250, kLockPort = 8399;
-constexpr int kListenersAPart =
-    8'000;  // a process holds some 20,000 descriptors, and needs as many for links
-constexpr int kMostMemberParts = 6, kProxiesAClientPart = 100, kMostClientParts = 3;
-constexpr int kSockets = 1024, kMemoryMb = 192;  // what the deployment page allows on scored days
+constexpr int kListenersPerPart =
+    8'000;  // a process may open some 20,000 descriptors and needs as many for connections as for listeners
+constexpr int kMaxEndpointParts = 6, kProxiesPerClientPart = 100, kMaxClientParts = 3;
+constexpr int kSockets = 1024, kMemoryMb = 192;  // the limits that the deployment page sets for scored days
 
 }  // namespace
 
@@ -32,7 +32,7 @@
     std::string name;
     Process process;
     std::unique_ptr<Channel> channel;
-    bool ready = false, over = false, clients = false;
+    bool ready = false, over = false, is_client = false;
 };
 
 struct Conductor::Proxy {
@@ -40,10 +40,10 @@
     std::unique_ptr<emulator::Readiness> readiness;
     int starts = 0;
     bool ready = false, stopped = false;
-    bool expected = false;  // that it ends, by a signal that was sent
+    bool exit_expected = false;  // a signal was sent that ends the process
     bool killed = false;
-    Time back_at = 0;  // when it is to be started again; 0: not
-    sloestack::Deadline again;
+    Time restart_at = 0;  // time of the scheduled restart; 0: none
+    sloestack::Deadline restart_deadline;
 };
 
 Conductor::Conductor(const RunSettings& settings)
@@ -51,50 +51,51 @@
     run_.plan = settings.plan;
     const auto& s = run_.plan.scenario;
     const int listeners = s.proxies * s.fleet.banks * s.fleet.members;
-    run_.member_parts =
-        std::clamp(listeners / kListenersAPart + 1, 1, std::min(s.fleet.banks, kMostMemberParts));
-    run_.client_parts = std::clamp(s.proxies / kProxiesAClientPart, 1, kMostClientParts);
-    take_block();
-    members_ = emulator::Fleet::first_list(fleet_settings(run_.plan, run_.block, 0, 1));
+    run_.endpoint_parts =
+        std::clamp(listeners / kListenersPerPart + 1, 1, std::min(s.fleet.banks, kMaxEndpointParts));
+    run_.client_parts = std::clamp(s.proxies / kProxiesPerClientPart, 1, kMaxClientParts);
+    reserve_address_block();
+    initial_endpoints_ = emulator::Fleet::first_list(fleet_settings(run_.plan, run_.block, 0, 1));
     write_run(settings.folder, run_);
     for (int i = 0; i < s.proxies; ++i) proxies_.push_back(std::make_unique<Proxy>());
     loop_.on_signal(SIGCHLD, [this] { reap(); });
 }
 
 Conductor::~Conductor() {
-    if (lock_ >= 0) close(lock_);
+    if (block_lock_fd_ >= 0) close(block_lock_fd_);
 }
 
-// Runs beside each other have addresses of their own: each holds one port as a sign that its block is taken.
-void Conductor::take_block() {
-    lock_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+// Chooses a block of loopback addresses that no concurrent run uses. A run reserves its block by binding a
+// port in it.
+void Conductor::reserve_address_block() {
+    block_lock_fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     for (int block = kFirstBlock; block <= kLastBlock; ++block) {
         sockaddr_in at{};
         at.sin_family = AF_INET;
         inet_pton(AF_INET, ("127." + std::to_string(block) + ".255.1").c_str(), &at.sin_addr);
         at.sin_port = htons(kLockPort);
-        if (bind(lock_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) continue;
+        if (bind(block_lock_fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) continue;
         run_.block = block;
         return;
     }
-    throw std::runtime_error("no block of loopback addresses is free");
+    throw std::runtime_error("all blocks of loopback addresses are in use by other runs");
 }
 
-template <class Holds>
-void Conductor::until(const char* what, Micros limit, Holds holds) {
-    const auto hopeless = deadlines_.now() + limit;
-    while (!holds()) {
-        if (deadlines_.now() > hopeless) throw std::runtime_error(what);
-        Micros at_most = kLongestTurn;
-        if (const auto next = deadlines_.next()) at_most = std::min(at_most, *next - deadlines_.now());
-        loop_.run_once(at_most);
+template <class Predicate>
+void Conductor::run_until(const char* what, Micros limit, Predicate is_done) {
+    const auto give_up_at = deadlines_.now() + limit;
+    while (!is_done()) {
+        if (deadlines_.now() > give_up_at) throw std::runtime_error(what);
+        Micros max_wait = kMaxIterationUs;
+        if (const auto next = deadlines_.next()) max_wait = std::min(max_wait, *next - deadlines_.now());
+        loop_.run_once(max_wait);
         deadlines_.run_due();
         loop_.end_iteration();
         if (!failure_.empty()) throw std::runtime_error(failure_);
     }
 }
 
-void Conductor::seen(int proxy, const char* word) {
+void Conductor::record_process(int proxy, const char* word) {
     emulator::Event e;
     e.what = What::process;
     e.at = deadlines_.now();
@@ -103,7 +104,7 @@
     recorder_.saw(e);
 }
 
-void Conductor::fault(const std::string& word) {
+void Conductor::record_fault(const std::string& word) {
     emulator::Event e;
     e.at = deadlines_.now();
     e.word = word;
@@ -114,15 +115,16 @@
     const auto add = [&](const std::string& role, int number) {
         int ends[2];
         if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, static_cast<int*>(ends)) != 0)
-            throw std::runtime_error("no channel to a part");
+            throw std::runtime_error("cannot create a socket pair for a child process");
         auto& part = *parts_.emplace_back(std::make_unique<Part>());
         part.name = role + "-" + std::to_string(number);
-        part.clients = role == "clients";
+        part.is_client = role == "clients";
         Command command;
-        command.words = {this_program(), "fleet", "part",     settings_.folder,
-                         "--role",       role,    "--number", std::to_string(number)};
-        command.log = settings_.folder + "/parts.log";
-        command.channel = ends[1];
+        command.arguments = {
+            this_program_path(),   "fleet", "part", settings_.folder, "--role", role, "--number",
+            std::to_string(number)};
+        command.log_path = settings_.folder + "/parts.log";
+        command.channel_fd = ends[1];
         part.process.start(command);
         close(ends[1]);
         part.channel = std::make_unique<Channel>(
@@ -132,15 +134,15 @@
                     part.ready = true;
                 else if (line == "over")
                     part.over = true;
-                else  // what discovery is to list
-                    parts_.front()->channel->say(line);
+                else  // a change of the endpoint list, for discovery
+                    parts_.front()->channel->send_line(line);
             },
             [this, &part] {
-                if (!ending_) failure_ = part.name + " ended early; see parts.log";
+                if (!shutting_down_) failure_ = part.name + " exited early; see parts.log";
             });
     };
     add("discovery", 0);
-    for (int i = 0; i < run_.member_parts; ++i) add("members", i);
+    for (int i = 0; i < run_.endpoint_parts; ++i) add("members", i);
     for (int i = 0; i < run_.client_parts; ++i) add("clients", i);
 }
 
@@ -149,16 +151,17 @@
            std::to_string(proxies_[static_cast<std::size_t>(number)]->starts) + ".json";
 }
 
-// Of its next start. Written before that is due: hundreds of files take longer than hundreds of processes.
+// Writes the configuration of the next start, ahead of that start: writing hundreds of files takes longer
+// than starting hundreds of processes.
 void Conductor::write_config(int number) {
     const auto& s = run_.plan.scenario;
     const auto host = host_of(run_.block, number);
     const auto name = "n" + std::to_string(number);
     auto config = emulator::proxy_config(host + ":" + std::to_string(kProxyPort),
                                          host + ":" + std::to_string(kDiscoveryPort),
-                                         emulator::Discovery::first_list(members_, host), kSockets);
+                                         emulator::Discovery::first_list(initial_endpoints_, host), kSockets);
     config["name"] = name;
-    // New with each start, as the platform has it, and the same in each run of the seed.
+    // Differs at each start, as on the platform, and is the same in each run with the same seed.
     const auto starts = proxies_[static_cast<std::size_t>(number)]->starts;
     config["seed"] = emulator::hex16(emulator::mixed(run_.plan.seed, name + "/" + std::to_string(starts)));
     config["limits"]["memory_mb"] = kMemoryMb;
@@ -179,28 +182,30 @@
     auto& proxy = *proxies_[static_cast<std::size_t>(number)];
     const auto path = settings_.folder + "/n" + std::to_string(number);
     Command command;
-    command.words = {settings_.proxy, "serve"};
-    command.variables = {"EDGE_CONFIG=" + config_path(number)};
-    command.log = path + ".log";
+    command.arguments = {settings_.proxy, "serve"};
+    command.environment = {"EDGE_CONFIG=" + config_path(number)};
+    command.log_path = path + ".log";
     proxy.process.start(command);
     ++proxy.starts;
-    proxy.expected = proxy.killed = proxy.ready = proxy.stopped = false;
-    proxy.back_at = 0;
-    seen(number, "started");
+    proxy.exit_expected = proxy.killed = proxy.ready = proxy.stopped = false;
+    proxy.restart_at = 0;
+    record_process(number, "started");
     static const emulator::Edge clear;
     proxy.readiness =
         std::make_unique<emulator::Readiness>(emulator::Line::Host{loop_, deadlines_, random_}, clear,
                                               proxy_address(run_.block, number), [this, number] {
                                                   proxies_[static_cast<std::size_t>(number)]->ready = true;
-                                                  seen(number, "ready");
+                                                  record_process(number, "ready");
                                               });
 }
 
 void Conductor::reap() {
     for (std::size_t i = 0; i < proxies_.size(); ++i)
-        if (const auto status = proxies_[i]->process.ended()) proxy_ended(static_cast<int>(i), *status);
+        if (const auto status = proxies_[i]->process.poll_exit_status())
+            proxy_ended(static_cast<int>(i), *status);
     for (auto& part : parts_)
-        if (part->process.ended() && !ending_) failure_ = part->name + " ended early; see parts.log";
+        if (part->process.poll_exit_status() && !shutting_down_)
+            failure_ = part->name + " exited early; see parts.log";
 }
 
 void Conductor::proxy_ended(int number, int status) {
@@ -208,98 +213,101 @@
     proxy.readiness.reset();
     proxy.ready = false;
     const bool in_order = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-    if (!proxy.killed) seen(number, proxy.expected && in_order ? "ended" : "crashed");
-    if (proxy.back_at == 0 || ending_) return;
+    if (!proxy.killed) record_process(number, proxy.exit_expected && in_order ? "ended" : "crashed");
+    if (proxy.restart_at == 0 || shutting_down_) return;
     write_config(number);
-    proxy.again.set(deadlines_, std::max(proxy.back_at, deadlines_.now()),
-                    [this, number] { start_proxy(number); });
+    proxy.restart_deadline.set(deadlines_, std::max(proxy.restart_at, deadlines_.now()),
+                               [this, number] { start_proxy(number); });
 }
 
-void Conductor::begin(const Step& step) {
-    fault("begins: " + step.text());
-    for (const int p : step.what <= Do::stop ? step.proxies : std::vector<int>{}) {
+void Conductor::begin(const FaultStep& step) {
+    record_fault("begins: " + step.text());
+    for (const int p : step.what <= FaultKind::stop ? step.proxies : std::vector<int>{}) {
         auto& proxy = *proxies_[static_cast<std::size_t>(p)];
-        if (!proxy.process.running()) {
-            // Still away: it stays so for longer.
-            if (step.what != Do::stop && proxy.back_at && run_.begins + step.end_us > proxy.back_at) {
-                proxy.back_at = run_.begins + step.end_us;
-                proxy.again.set(deadlines_, proxy.back_at, [this, p] { start_proxy(p); });
+        if (!proxy.process.is_running()) {
+            // The proxy is down already; a later end of this fault delays its restart.
+            if (step.what != FaultKind::stop && proxy.restart_at &&
+                run_.start_time + step.end_us > proxy.restart_at) {
+                proxy.restart_at = run_.start_time + step.end_us;
+                proxy.restart_deadline.set(deadlines_, proxy.restart_at, [this, p] { start_proxy(p); });
             }
             continue;
         }
-        if (step.what == Do::stop) {
+        if (step.what == FaultKind::stop) {
             proxy.stopped = true;
-            seen(p, "stopped");
+            record_process(p, "stopped");
             proxy.process.signal(SIGSTOP);
             continue;
         }
-        proxy.expected = true;
-        proxy.back_at = run_.begins + step.end_us;
+        proxy.exit_expected = true;
+        proxy.restart_at = run_.start_time + step.end_us;
         proxy.readiness.reset();
-        if (step.what == Do::kill) {
+        if (step.what == FaultKind::kill) {
             proxy.killed = true;
-            seen(p, "killed");
+            record_process(p, "killed");
         } else {
-            seen(p, "terminating");
+            record_process(p, "terminating");
         }
-        proxy.process.signal(step.what == Do::kill ? SIGKILL : SIGTERM);
+        proxy.process.signal(step.what == FaultKind::kill ? SIGKILL : SIGTERM);
     }
 }
 
-void Conductor::end(const Step& step) {
-    fault("ends: " + step.text());
-    if (step.what != Do::stop) return;
+void Conductor::end(const FaultStep& step) {
+    record_fault("ends: " + step.text());
+    if (step.what != FaultKind::stop) return;
     for (const int p : step.proxies) {
         auto& proxy = *proxies_[static_cast<std::size_t>(p)];
         if (!proxy.stopped) continue;
         proxy.stopped = false;
         proxy.process.signal(SIGCONT);
-        seen(p, "continued");
+        record_process(p, "continued");
     }
 }
 
 void Conductor::schedule() {
     for (const auto& step : run_.plan.steps) {
-        deadlines_.add(run_.begins + step.at_us, [this, &step] { begin(step); });
-        deadlines_.add(run_.begins + step.end_us, [this, &step] { end(step); });
+        deadlines_.add(run_.start_time + step.at_us, [this, &step] { begin(step); });
+        deadlines_.add(run_.start_time + step.end_us, [this, &step] { end(step); });
     }
 }
 
-void Conductor::play() {
+void Conductor::run() {
     start_parts();
-    until("a part does not come up; see parts.log", kComesUp,
-          [&] { return std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready; }); });
+    run_until("a part did not become ready; see parts.log", kStartTimeoutUs,
+              [&] { return std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready; }); });
     for (std::size_t i = 0; i < proxies_.size(); ++i) write_config(static_cast<int>(i));
     for (std::size_t i = 0; i < proxies_.size(); ++i) start_proxy(static_cast<int>(i));
-    until("a proxy does not come up; see its log", kComesUp,
-          [&] { return std::all_of(proxies_.begin(), proxies_.end(), [](auto& p) { return p->ready; }); });
-    run_.begins = deadlines_.now() + kStartsIn;
+    run_until("a proxy did not become ready; see its log", kStartTimeoutUs, [&] {
+        return std::all_of(proxies_.begin(), proxies_.end(), [](auto& p) { return p->ready; });
+    });
+    run_.start_time = deadlines_.now() + kStartDelayUs;
     write_run(settings_.folder, run_);
-    for (auto& part : parts_) part->channel->say("go " + std::to_string(run_.begins));
+    for (auto& part : parts_) part->channel->send_line("go " + std::to_string(run_.start_time));
     schedule();
     const auto length = run_.plan.scenario.length_us;
-    until("the clients do not come to an end", length + kComesUp, [&] {
+    run_until("the clients did not finish after the end of the scenario", length + kStartTimeoutUs, [&] {
         const bool over =
-            std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->over || !p->clients; });
-        return over && deadlines_.now() > run_.begins + length;
+            std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->over || !p->is_client; });
+        return over && deadlines_.now() > run_.start_time + length;
     });
-    // Those that are still away come back first, so that all end in the same way, from service.
-    until("a proxy does not come back; see its log", kComesUp, [&] {
+    // Waits for proxies that are still down, so that all proxies are in service when they are stopped.
+    run_until("a proxy did not become ready again; see its log", kStartTimeoutUs, [&] {
         return std::all_of(proxies_.begin(), proxies_.end(),
-                           [](auto& p) { return p->ready && !p->expected; });
+                           [](auto& p) { return p->ready && !p->exit_expected; });
     });
-    ending_ = true;
+    shutting_down_ = true;
     for (auto& proxy : proxies_) {
-        proxy->expected = true;
+        proxy->exit_expected = true;
         proxy->process.signal(SIGTERM);
     }
-    until("a proxy does not end at SIGTERM; see its log", kGoesDown, [&] {
-        return std::none_of(proxies_.begin(), proxies_.end(), [](auto& p) { return p->process.running(); });
+    run_until("a proxy did not exit on SIGTERM; see its log", kStopTimeoutUs, [&] {
+        return std::none_of(proxies_.begin(), proxies_.end(),
+                            [](auto& p) { return p->process.is_running(); });
     });
     for (auto& part : parts_) part->channel->close();
-    until("a part does not end; see parts.log", kGoesDown, [&] {
+    run_until("a part did not exit; see parts.log", kStopTimeoutUs, [&] {
         reap();
-        return std::none_of(parts_.begin(), parts_.end(), [](auto& p) { return p->process.running(); });
+        return std::none_of(parts_.begin(), parts_.end(), [](auto& p) { return p->process.is_running(); });
     });
     recorder_.close();
 }
--- a/fault_harness/conductor.h
+++ b/fault_harness/conductor.h
@@ -1,5 +1,6 @@
-// Plays one run: starts the parts and the proxies, carries out what is done to processes, and ends them all.
-// Every wait ends on an event; the limits only end a hang.
+// Runs one scenario: starts the parts (the discovery, endpoint and client processes) and the proxies, applies
+// the faults that concern proxy processes, and stops all processes. Every wait ends on an event; the
+// time-outs only bound a hang.
 #pragma once
 
 #include <memory>
@@ -15,8 +16,8 @@
 namespace fault_harness {
 
 struct RunSettings {
-    std::string folder;  // there already, and empty
-    std::string proxy;   // the program's path: words behind it are "serve"
+    std::string folder;  // must exist and be empty
+    std::string proxy;   // path of the sloestack program; it is started with the argument "serve"
     Plan plan;
 };
 
@@ -27,15 +28,15 @@
     Conductor(const Conductor&) = delete;
     Conductor& operator=(const Conductor&) = delete;
 
-    // Throws std::runtime_error where a part or a proxy does not come up, a part ends early, or something
-    // hangs.
-    void play();
+    // Runs the scenario to its end. Throws std::runtime_error if a part or proxy does not become ready, a
+    // part exits early, or a wait times out.
+    void run();
 
 private:
     struct Part;
     struct Proxy;
 
-    void take_block();
+    void reserve_address_block();
     void start_parts();
     std::string config_path(int number) const;
     void write_config(int number);
@@ -43,13 +44,14 @@
     void proxy_ended(int number, int status);
     void reap();
     void schedule();
-    void begin(const Step& step);
-    void end(const Step& step);
-    void seen(int proxy, const char* word);
-    void fault(const std::string& word);
-    // Takes turns until it holds; std::runtime_error saying `what` after the limit.
-    template <class Holds>
-    void until(const char* what, Micros limit, Holds holds);
+    void begin(const FaultStep& step);
+    void end(const FaultStep& step);
+    void record_process(int proxy, const char* word);
+    void record_fault(const std::string& word);
+    // Runs event-loop iterations until `is_done` returns true. Throws std::runtime_error with message `what`
+    // after `limit`.
+    template <class Predicate>
+    void run_until(const char* what, Micros limit, Predicate is_done);
 
     RunSettings settings_;
     Run run_;
@@ -58,11 +60,12 @@
     sloestack::Deadlines deadlines_{clock_};
     emulator::Random random_{1};
     Recorder recorder_;
-    std::vector<emulator::Listed> members_;  // as the run begins: the list that proxies start with
-    int lock_ = -1;                          // holds the block of addresses
+    std::vector<emulator::Listed>
+        initial_endpoints_;   // the endpoint list at the start of the run; proxies start with it
+    int block_lock_fd_ = -1;  // socket whose bound port reserves the address block
     std::vector<std::unique_ptr<Part>> parts_;
     std::vector<std::unique_ptr<Proxy>> proxies_;
-    bool ending_ = false;
+    bool shutting_down_ = false;
     std::string failure_;
 };
 
--- a/fault_harness/folder.cpp
+++ b/fault_harness/folder.cpp
@@ -21,13 +21,13 @@
     out << nlohmann::json{{"seed", run.plan.seed},
                           {"proxies", run.plan.scenario.proxies},
                           {"block", run.block},
-                          {"member_parts", run.member_parts},
+                          {"member_parts", run.endpoint_parts},
                           {"client_parts", run.client_parts},
-                          {"begins", run.begins}}
+                          {"begins", run.start_time}}
                .dump(2);
     scenario.close();
     out.close();
-    if (!scenario || !out) throw std::runtime_error("cannot write into " + folder);
+    if (!scenario || !out) throw std::runtime_error("cannot write scenario.json and run.json in " + folder);
 }
 
 Run read_run(const std::string& folder) {
@@ -38,12 +38,12 @@
             Scenario::read(read_text(folder + "/scenario.json"), json.at("proxies").get<int>());
         run.plan = draw(scenario, json.at("seed").get<std::uint64_t>());
         run.block = json.at("block").get<int>();
-        run.member_parts = json.at("member_parts").get<int>();
+        run.endpoint_parts = json.at("member_parts").get<int>();
         run.client_parts = json.at("client_parts").get<int>();
-        run.begins = json.at("begins").get<Time>();
+        run.start_time = json.at("begins").get<Time>();
         return run;
     } catch (const nlohmann::json::exception&) {
-        throw std::invalid_argument(folder + "/run.json is no run's");
+        throw std::invalid_argument(folder + "/run.json: not the description of a run");
     }
 }
 
--- a/fault_harness/folder.h
+++ b/fault_harness/folder.h
@@ -1,4 +1,4 @@
-// What a run's folder says of it, for the processes that take part and for reports.
+// The description of a run in its folder, read by the processes of the run and by reports.
 #pragma once
 
 #include <string>
@@ -7,11 +7,12 @@
 
 namespace fault_harness {
 
+// Contents of scenario.json and run.json.
 struct Run {
     Plan plan;
-    int block = 0;
-    int member_parts = 1, client_parts = 1;
-    Time begins = 0;  // 0: it has not begun
+    int block = 0;                             // second byte of the loopback addresses, 127.block.0.0/16
+    int endpoint_parts = 1, client_parts = 1;  // number of processes
+    Time start_time = 0;                       // 0: not started yet
 };
 
 std::string read_text(const std::string& path);             // throws std::invalid_argument
--- a/fault_harness/part.cpp
+++ b/fault_harness/part.cpp
@@ -16,8 +16,8 @@
 
 namespace net = sloestack::net;
 using sloestack::Deadline;
-constexpr int kChannel = 3;
-constexpr Micros kLongestTurn = 100'000;
+constexpr int kChannelFd = 3;  // file descriptor on which the conductor passes the channel
+constexpr Micros kMaxIterationUs = 100'000;
 
 nlohmann::json to_json(const emulator::Listed& l) {
     return {{"member", l.member}, {"group", l.group}, {"name", l.name},         {"zone", l.zone},
@@ -36,43 +36,44 @@
     return l;
 }
 
-// What every part has: its loop, its record, the conductor's word, and the steps that concern it.
+// Base of the processes: event loop, record, channel to the conductor, and the timing of the fault steps.
 class Part {
 public:
     Part(const std::string& folder, const std::string& name)
         : run_(read_run(folder)),
           recorder_(folder + "/" + name + ".jsonl"),
           channel_(
-              loop_, kChannel, [this](const std::string& line) { heard(line); }, [this] { over_ = true; }) {}
+              loop_, kChannelFd, [this](const std::string& line) { handle_line(line); },
+              [this] { closed_ = true; }) {}
     virtual ~Part() = default;
 
     void serve() {
-        channel_.say("ready");
-        while (!over_) {
-            Micros at_most = kLongestTurn;
+        channel_.send_line("ready");
+        while (!closed_) {
+            Micros max_wait = kMaxIterationUs;
             const auto next = deadlines_.next();
-            if (next) at_most = std::min(at_most, *next - deadlines_.now());
-            loop_.run_once(at_most);
-            if (next) late_ = std::max(late_, deadlines_.now() - *next);
+            if (next) max_wait = std::min(max_wait, *next - deadlines_.now());
+            loop_.run_once(max_wait);
+            if (next) max_timer_delay_ = std::max(max_timer_delay_, deadlines_.now() - *next);
             deadlines_.run_due();
-            tell_busy();
+            record_timer_delay();
             loop_.end_iteration();
-            turned();
+            after_iteration();
         }
         recorder_.close();
     }
 
 protected:
-    virtual void go() {}
-    virtual void told(const std::string&) {}
-    virtual void turned() {}
-    virtual void change(const Step&, bool) {}  // a step begins, or ends
+    virtual void on_run_start() {}                         // at the start time of the run
+    virtual void handle_other_line(const std::string&) {}  // for other lines than the start time
+    virtual void after_iteration() {}                      // after each event-loop iteration
+    virtual void on_step(const FaultStep&, bool) {}        // at the start (true) and end (false) of a step
 
-    // An edge of `of`, named as it names it, has its condition for the time of a step, and is clear again
-    // behind it.
+    // Sets the condition of one edge of `of` at the start of a step and clears it at the end. `name`
+    // identifies the edge to `of`.
     template <class Owner, class... Name>
-    static void apply(Owner& of, const Step& step, bool on, Name... name) {
-        if (step.what == Do::reset) {
+    static void apply(Owner& of, const FaultStep& step, bool on, Name... name) {
+        if (step.what == FaultKind::reset) {
             if (on) of.reset(name...);
             return;
         }
@@ -81,8 +82,8 @@
         if (step.out) edge.out = on ? step.condition : emulator::Condition{};
         of.edge_changed(name...);
     }
-    static bool of_edge(const Step& step, Ends ends) {
-        return step.what >= Do::cut && step.what <= Do::lose && step.edge == ends;
+    static bool affects_edge(const FaultStep& step, EdgePeer peer) {
+        return step.what >= FaultKind::cut && step.what <= FaultKind::lose && step.edge == peer;
     }
 
     Run run_;
@@ -93,28 +94,29 @@
     Channel channel_;
 
 private:
-    void heard(const std::string& line) {
-        if (line.rfind("go ", 0) != 0) return told(line);
-        const Time begins = std::stoll(line.substr(3));
+    void handle_line(const std::string& line) {
+        if (line.rfind("go ", 0) != 0) return handle_other_line(line);
+        const Time start_time = std::stoll(line.substr(3));
         for (const auto& step : run_.plan.steps) {
-            deadlines_.add(begins + step.at_us, [this, &step] { change(step, true); });
-            deadlines_.add(begins + step.end_us, [this, &step] { change(step, false); });
+            deadlines_.add(start_time + step.at_us, [this, &step] { on_step(step, true); });
+            deadlines_.add(start_time + step.end_us, [this, &step] { on_step(step, false); });
         }
-        start_.set(deadlines_, begins, [this] { go(); });
+        start_.set(deadlines_, start_time, [this] { on_run_start(); });
     }
-    // A machine that is too busy for the rig says nothing of the fleet: how late its own turns come is told.
-    void tell_busy() {
+    // Records once per second the longest delay of a timer in this process: on a machine that is too busy for
+    // the fault harness, the figures say little about the fleet.
+    void record_timer_delay() {
         const auto now = deadlines_.now();
-        if (now - busy_told_ < 1'000'000) return;
+        if (now - delay_recorded_at_ < 1'000'000) return;
         emulator::Event e;
         e.what = emulator::What::busy;
-        e.at = busy_told_ = now;
-        e.value = static_cast<std::uint64_t>(std::exchange(late_, 0));
+        e.at = delay_recorded_at_ = now;
+        e.value = static_cast<std::uint64_t>(std::exchange(max_timer_delay_, 0));
         recorder_.saw(e);
     }
-    bool over_ = false;
-    Micros late_ = 0;
-    Time busy_told_ = 0;
+    bool closed_ = false;
+    Micros max_timer_delay_ = 0;
+    Time delay_recorded_at_ = 0;
     Deadline start_;
 };
 
@@ -126,36 +128,36 @@
                      emulator::Fleet::first_list(fleet_settings(run_.plan, run_.block, 0, 1)), recorder_) {}
 
 private:
-    void told(const std::string& line) override {
+    void handle_other_line(const std::string& line) override {
         discovery_.update(listed_from(nlohmann::json::parse(line)));
     }
-    void change(const Step& step, bool on) override {
+    void on_step(const FaultStep& step, bool on) override {
         using State = emulator::Discovery::State;
-        if (step.what == Do::discovery_slow) discovery_.slow(on ? step.slow_times : 1);
-        if (step.what == Do::discovery_empty) discovery_.set(on ? State::empty : State::up);
-        if (step.what == Do::discovery_behind) discovery_.set(on ? State::behind : State::up);
-        if (step.what == Do::discovery_silent && on) discovery_.fall_silent();
-        if (step.what == Do::discovery_gone) discovery_.set(on ? State::gone : State::up);
-        if (!of_edge(step, Ends::discovery)) return;
+        if (step.what == FaultKind::discovery_slow) discovery_.slow(on ? step.slow_times : 1);
+        if (step.what == FaultKind::discovery_empty) discovery_.set(on ? State::empty : State::up);
+        if (step.what == FaultKind::discovery_behind) discovery_.set(on ? State::behind : State::up);
+        if (step.what == FaultKind::discovery_silent && on) discovery_.fall_silent();
+        if (step.what == FaultKind::discovery_gone) discovery_.set(on ? State::gone : State::up);
+        if (!affects_edge(step, EdgePeer::discovery)) return;
         for (const int p : step.proxies) apply(discovery_, step, on, p);
     }
     emulator::Discovery discovery_;
 };
 
-class MembersPart final : public Part {
+class EndpointsPart final : public Part {
 public:
-    MembersPart(const std::string& folder, int part)
+    EndpointsPart(const std::string& folder, int part)
         : Part(folder, "members-" + std::to_string(part)),
-          fleet_(loop_, deadlines_, fleet_settings(run_.plan, run_.block, part, run_.member_parts), recorder_,
-                 [this](const emulator::Listed& l) { channel_.say(to_json(l).dump()); }),
+          fleet_(loop_, deadlines_, fleet_settings(run_.plan, run_.block, part, run_.endpoint_parts),
+                 recorder_, [this](const emulator::Listed& l) { channel_.send_line(to_json(l).dump()); }),
           part_(part) {}
 
 private:
-    bool mine(int member) const {
-        return member / run_.plan.scenario.fleet.members % run_.member_parts == part_;
+    bool is_own(int member) const {
+        return member / run_.plan.scenario.fleet.members % run_.endpoint_parts == part_;
     }
-    void change(const Step& step, bool on) override {
-        const auto trouble = trouble_of(step.what);
+    void on_step(const FaultStep& step, bool on) override {
+        const auto trouble = to_trouble(step.what);
         if (trouble)
             for (const int m : step.members) {
                 emulator::Fault f;
@@ -165,25 +167,25 @@
                 f.member = m % run_.plan.scenario.fleet.members;
                 on ? fleet_.begin(f) : fleet_.end(f);
             }
-        if (!of_edge(step, Ends::members)) return;
+        if (!affects_edge(step, EdgePeer::members)) return;
         for (const int m : step.members) {
-            if (!mine(m)) continue;
+            if (!is_own(m)) continue;
             for (const int p : step.proxies) apply(fleet_, step, on, p, m);
         }
     }
-    static std::optional<emulator::Trouble> trouble_of(Do what) {
+    static std::optional<emulator::Trouble> to_trouble(FaultKind what) {
         switch (what) {
-            case Do::member_crash:
+            case FaultKind::member_crash:
                 return emulator::Trouble::crash;
-            case Do::member_hang:
+            case FaultKind::member_hang:
                 return emulator::Trouble::silent;
-            case Do::member_replace:
+            case FaultKind::member_replace:
                 return emulator::Trouble::replace;
-            case Do::member_drain:
+            case FaultKind::member_drain:
                 return emulator::Trouble::drain;
-            case Do::member_stall:
+            case FaultKind::member_stall:
                 return emulator::Trouble::stall;
-            case Do::member_slow_apply:
+            case FaultKind::member_slow_apply:
                 return emulator::Trouble::slow;
             default:
                 return std::nullopt;
@@ -199,26 +201,27 @@
         : Part(folder, "clients-" + std::to_string(part)), part_(part) {}
 
 private:
-    void go() override {
+    void on_run_start() override {
         load_ = std::make_unique<emulator::Load>(
             loop_, deadlines_, load_settings(run_.plan, run_.block, part_, run_.client_parts), recorder_);
     }
-    void turned() override {
-        if (!load_ || told_over_ || !load_->over()) return;
-        told_over_ = true;
-        channel_.say("over");
+    void after_iteration() override {
+        if (!load_ || over_reported_ || !load_->over()) return;
+        over_reported_ = true;
+        channel_.send_line("over");
     }
-    void change(const Step& step, bool on) override {
-        if (!load_ || !of_edge(step, Ends::clients)) return;
+    void on_step(const FaultStep& step, bool on) override {
+        if (!load_ || !affects_edge(step, EdgePeer::clients)) return;
         for (const int p : step.proxies) {
-            // What was out when it began, or comes while it lasts, may never be answered: the proxy's no
-            // more.
-            if (step.what == Do::cut || step.what == Do::reset) tell(p, on ? "cut off" : "reached");
+            // Requests in flight at the start of the fault, or sent during it, may get no response; the
+            // checker must not attribute that to the proxy.
+            if (step.what == FaultKind::cut || step.what == FaultKind::reset)
+                record_process(p, on ? "cut off" : "reached");
             apply(*load_, step, on, p);
         }
     }
-    // One part alone tells it.
-    void tell(int proxy, const char* word) {
+    // Only the first client process records it, so that it is recorded once.
+    void record_process(int proxy, const char* word) {
         if (part_ != 0) return;
         emulator::Event e;
         e.what = emulator::What::process;
@@ -229,7 +232,7 @@
     }
     int part_;
     std::unique_ptr<emulator::Load> load_;
-    bool told_over_ = false;
+    bool over_reported_ = false;
 };
 
 }  // namespace
@@ -239,11 +242,11 @@
     if (role == "discovery")
         running = std::make_unique<DiscoveryPart>(folder);
     else if (role == "members")
-        running = std::make_unique<MembersPart>(folder, part);
+        running = std::make_unique<EndpointsPart>(folder, part);
     else if (role == "clients")
         running = std::make_unique<ClientsPart>(folder, part);
     else
-        throw std::invalid_argument("\"" + role + "\" is no part: discovery, members or clients");
+        throw std::invalid_argument("\"" + role + "\" is not a role: must be discovery, members or clients");
     running->serve();
 }
 
--- a/fault_harness/record.h
+++ b/fault_harness/record.h
@@ -1,4 +1,4 @@
-// A run's record on disk: one file of events a process of the rig, one event a line.
+// The record of a run on disk: one file per process of the fault harness, one event per line.
 #pragma once
 
 #include <fstream>
@@ -12,16 +12,17 @@
 
 class Recorder final : public emulator::Witness {
 public:
-    explicit Recorder(const std::string& path);  // throws std::runtime_error where it cannot be written
+    explicit Recorder(const std::string& path);  // throws std::runtime_error if the file cannot be created
     void saw(const emulator::Event& event) override;
-    void close();  // throws std::runtime_error where not all of it could be written
+    void close();  // throws std::runtime_error if a write failed
 
 private:
     std::string path_;
     std::ofstream out_;
 };
 
-// All events in `folder`, by time; throws std::invalid_argument naming a file and line that is no event.
+// Returns all events of the .jsonl files in `folder`, ordered by time. Throws std::invalid_argument naming
+// the file and line if a line is not an event.
 std::vector<emulator::Event> read_record(const std::string& folder);
 
 }  // namespace fault_harness
--- a/fault_harness/scenario.cpp
+++ b/fault_harness/scenario.cpp
@@ -18,41 +18,41 @@
 namespace {
 
 using nlohmann::json;
-// Longer than a late answer may take, so that the record says how late it was: the rules judge, not the
-// clients.
-constexpr Micros kGrace = 2'000'000;
-constexpr const char* kZones[] = {"walu-bay", "laucala", "nasinu"};
+// How long clients wait after a request's deadline: longer than the rules allow, so that the record shows how
+// late a response was and the rules, not the clients, decide.
+constexpr Micros kResponseGraceUs = 2'000'000;
+constexpr const char* kZoneNames[] = {"walu-bay", "laucala", "nasinu"};
 
-const std::pair<const char*, Do> kNames[] = {
-    {"kill", Do::kill},
-    {"term", Do::term},
-    {"stop", Do::stop},
-    {"cut", Do::cut},
-    {"reset", Do::reset},
-    {"delay", Do::delay},
-    {"slow", Do::slow},
-    {"lose", Do::lose},
-    {"discovery_slow", Do::discovery_slow},
-    {"discovery_empty", Do::discovery_empty},
-    {"discovery_behind", Do::discovery_behind},
-    {"discovery_gone", Do::discovery_gone},
-    {"discovery_silent", Do::discovery_silent},
-    {"member_crash", Do::member_crash},
-    {"member_hang", Do::member_hang},
-    {"member_replace", Do::member_replace},
-    {"member_drain", Do::member_drain},
-    {"member_stall", Do::member_stall},
-    {"member_slow_apply", Do::member_slow_apply},
+const std::pair<const char*, FaultKind> kFaultNames[] = {
+    {"kill", FaultKind::kill},
+    {"term", FaultKind::term},
+    {"stop", FaultKind::stop},
+    {"cut", FaultKind::cut},
+    {"reset", FaultKind::reset},
+    {"delay", FaultKind::delay},
+    {"slow", FaultKind::slow},
+    {"lose", FaultKind::lose},
+    {"discovery_slow", FaultKind::discovery_slow},
+    {"discovery_empty", FaultKind::discovery_empty},
+    {"discovery_behind", FaultKind::discovery_behind},
+    {"discovery_gone", FaultKind::discovery_gone},
+    {"discovery_silent", FaultKind::discovery_silent},
+    {"member_crash", FaultKind::member_crash},
+    {"member_hang", FaultKind::member_hang},
+    {"member_replace", FaultKind::member_replace},
+    {"member_drain", FaultKind::member_drain},
+    {"member_stall", FaultKind::member_stall},
+    {"member_slow_apply", FaultKind::member_slow_apply},
 };
 
-Micros from_s(const json& in, const char* key, double usual) {
-    return static_cast<Micros>(in.value(key, usual) * 1e6);
+Micros from_s(const json& in, const char* key, double default_value) {
+    return static_cast<Micros>(in.value(key, default_value) * 1e6);
 }
-Micros from_ms(const json& in, const char* key, double usual) {
-    return static_cast<Micros>(in.value(key, usual) * 1e3);
+Micros from_ms(const json& in, const char* key, double default_value) {
+    return static_cast<Micros>(in.value(key, default_value) * 1e3);
 }
 
-void check_schema(const json& file) {
+void validate_schema(const json& file) {
     static const json text = json::parse(kScenarioSchema);
     valijson::Schema schema;
     valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(text), schema);
@@ -61,7 +61,7 @@
         return;
     valijson::ValidationResults::Error error;
     std::string where, why;
-    // The innermost error says most: it is the one with the longest way to it.
+    // The innermost error, with the longest path, is the most specific.
     while (results.popError(error)) {
         std::string path;
         for (const auto& part : error.context) path += part;
@@ -70,21 +70,24 @@
     throw std::invalid_argument("scenario " + where + ": " + why);
 }
 
-bool of_processes(Do what) { return what == Do::kill || what == Do::term || what == Do::stop; }
-bool of_edges(Do what) { return what >= Do::cut && what <= Do::lose; }
-bool of_members(Do what) { return what >= Do::member_crash; }
+bool affects_processes(FaultKind what) {
+    return what == FaultKind::kill || what == FaultKind::term || what == FaultKind::stop;
+}
+bool affects_edges(FaultKind what) { return what >= FaultKind::cut && what <= FaultKind::lose; }
+bool affects_endpoints(FaultKind what) { return what >= FaultKind::member_crash; }
 
-// Those of `all` that are meant: by list, by zone, then a share of them.
+// Returns the sorted indices below `all` that a fault affects: those listed or in the zone, and then a random
+// share of them. Throws std::invalid_argument if a listed index is out of range.
 template <class ZoneOf>
-std::vector<int> chosen(const json& fault, const char* list, const char* zone, const char* share, int all,
-                        ZoneOf zone_of_one, emulator::Random& random) {
+std::vector<int> select_targets(const json& fault, const char* list, const char* zone, const char* share,
+                                int all, ZoneOf zone_of_one, emulator::Random& random) {
     std::vector<int> out;
     if (fault.contains(list)) {
         out = fault[list].get<std::vector<int>>();
-        for (const int one : out)
-            if (one >= all)
+        for (const int index : out)
+            if (index >= all)
                 throw std::invalid_argument("scenario: " + std::string(list) + " names " +
-                                            std::to_string(one) + " of " + std::to_string(all));
+                                            std::to_string(index) + " of " + std::to_string(all));
     } else {
         for (int i = 0; i < all; ++i)
             if (!fault.contains(zone) || zone_of_one(i) == fault[zone].get<int>()) out.push_back(i);
@@ -100,40 +103,44 @@
     return out;
 }
 
-// The steps of one fault: as many as it has waves and times, and one a process where they end apart.
-void draw(const Scenario& s, const json& fault, emulator::Random& random, std::vector<Step>& out) {
-    Step step;
+// Appends the steps of one fault: one for each wave or repetition, and with spread_s one for each proxy, with
+// an end of its own.
+void draw(const Scenario& s, const json& fault, emulator::Random& random, std::vector<FaultStep>& out) {
+    FaultStep step;
     const auto name = fault.at("do").get<std::string>();
-    step.what =
-        std::find_if(std::begin(kNames), std::end(kNames), [&](auto& n) { return name == n.first; })->second;
+    step.what = std::find_if(std::begin(kFaultNames), std::end(kFaultNames), [&](auto& n) {
+                    return name == n.first;
+                })->second;
     step.at_us = from_s(fault, "at_s", 0);
-    const auto lasts = from_s(fault, "for_s", 1), spread = from_s(fault, "spread_s", 0);
-    step.end_us = step.at_us + lasts;
-    if (of_processes(step.what) || of_edges(step.what))
-        step.proxies = chosen(
+    const auto duration = from_s(fault, "for_s", 1), spread = from_s(fault, "spread_s", 0);
+    step.end_us = step.at_us + duration;
+    if (affects_processes(step.what) || affects_edges(step.what))
+        step.proxies = select_targets(
             fault, "proxies", "zone", "share", s.proxies, [&](int p) { return zone_of(s, p); }, random);
     const auto edge = fault.value("edge", "members");
-    step.edge = edge == "members" ? Ends::members : edge == "discovery" ? Ends::discovery : Ends::clients;
+    step.edge = edge == "members"     ? EdgePeer::members
+                : edge == "discovery" ? EdgePeer::discovery
+                                      : EdgePeer::clients;
     const auto way = fault.value("way", "both");
     step.in = way != "out";
     step.out = way != "in";
-    if (of_members(step.what) || (of_edges(step.what) && step.edge == Ends::members)) {
-        auto wanted = fault;
-        // As the run begins, the first member of each bank is its primary.
+    if (affects_endpoints(step.what) || (affects_edges(step.what) && step.edge == EdgePeer::members)) {
+        auto selection = fault;
+        // At the start of the run the first endpoint of each replica group is its primary.
         if (fault.value("primaries", false)) {
             std::vector<int> first;
             for (int b = 0; b < s.fleet.banks; ++b) first.push_back(b * s.fleet.members);
-            wanted["member_list"] = first;
+            selection["member_list"] = first;
         }
-        step.members = chosen(
-            wanted, "member_list", "member_zone", "member_share", s.fleet.banks * s.fleet.members,
+        step.members = select_targets(
+            selection, "member_list", "member_zone", "member_share", s.fleet.banks * s.fleet.members,
             [&](int m) { return emulator::Fleet::zone_of(s.fleet, m); }, random);
     }
     auto& c = step.condition;
-    c.cut = step.what == Do::cut;
-    if (step.what == Do::delay) c.delay = from_ms(fault, "delay_ms", 50);
-    if (step.what == Do::slow) c.bytes_per_s = fault.value("bytes_per_s", 10'000.0);
-    if (step.what == Do::lose) c.loss = fault.value("loss", 0.05);
+    c.cut = step.what == FaultKind::cut;
+    if (step.what == FaultKind::delay) c.delay = from_ms(fault, "delay_ms", 50);
+    if (step.what == FaultKind::slow) c.bytes_per_s = fault.value("bytes_per_s", 10'000.0);
+    if (step.what == FaultKind::lose) c.loss = fault.value("loss", 0.05);
     step.slow_times = fault.value("slow_times", 10.0);
 
     const int waves = fault.value("waves", 1), times = fault.value("times", 1);
@@ -144,31 +151,31 @@
             std::swap(order[i - 1],
                       order[static_cast<std::size_t>(random.between(0, static_cast<std::int64_t>(i) - 1))]);
     for (int k = 0; k < std::max(waves, times); ++k) {
-        auto one = step;
-        one.at_us += k * every;
-        one.end_us += k * every;
+        auto repetition = step;
+        repetition.at_us += k * every;
+        repetition.end_us += k * every;
         if (waves > 1) {
             const auto size = order.size(), w = static_cast<std::size_t>(waves),
                        i = static_cast<std::size_t>(k);
-            one.proxies.assign(order.begin() + static_cast<std::ptrdiff_t>(size * i / w),
-                               order.begin() + static_cast<std::ptrdiff_t>(size * (i + 1) / w));
-            std::sort(one.proxies.begin(), one.proxies.end());
-            if (one.proxies.empty()) continue;
+            repetition.proxies.assign(order.begin() + static_cast<std::ptrdiff_t>(size * i / w),
+                                      order.begin() + static_cast<std::ptrdiff_t>(size * (i + 1) / w));
+            std::sort(repetition.proxies.begin(), repetition.proxies.end());
+            if (repetition.proxies.empty()) continue;
         }
         if (spread == 0) {
-            out.push_back(one);
+            out.push_back(repetition);
             continue;
         }
-        for (const int p : one.proxies) {
-            auto alone = one;
-            alone.proxies = {p};
-            alone.end_us += random.between(0, spread);
-            out.push_back(alone);
+        for (const int p : repetition.proxies) {
+            auto single = repetition;
+            single.proxies = {p};
+            single.end_us += random.between(0, spread);
+            out.push_back(single);
         }
     }
 }
 
-sockaddr_in at(int block, int proxy, std::uint16_t port) {
+sockaddr_in loopback_address(int block, int proxy, std::uint16_t port) {
     sockaddr_in out{};
     out.sin_family = AF_INET;
     inet_pton(AF_INET, host_of(block, proxy).c_str(), &out.sin_addr);
@@ -178,11 +185,14 @@
 
 }  // namespace
 
-std::string Step::text() const {
-    std::string words =
-        std::find_if(std::begin(kNames), std::end(kNames), [&](auto& n) { return n.second == what; })->first;
-    if (of_edges(what))
-        words += edge == Ends::members ? " members" : edge == Ends::discovery ? " discovery" : " clients";
+std::string FaultStep::text() const {
+    std::string words = std::find_if(std::begin(kFaultNames), std::end(kFaultNames), [&](auto& n) {
+                            return n.second == what;
+                        })->first;
+    if (affects_edges(what))
+        words += edge == EdgePeer::members     ? " members"
+                 : edge == EdgePeer::discovery ? " discovery"
+                                               : " clients";
     if (!proxies.empty()) words += ", " + std::to_string(proxies.size()) + " proxies";
     if (!members.empty()) words += ", " + std::to_string(members.size()) + " members";
     return words;
@@ -197,8 +207,8 @@
 
 Scenario Scenario::read(const std::string& text, int proxies) {
     const auto file = json::parse(text, nullptr, false, true);
-    if (file.is_discarded()) throw std::invalid_argument("scenario: no JSON");
-    check_schema(file);
+    if (file.is_discarded()) throw std::invalid_argument("scenario: not valid JSON");
+    validate_schema(file);
     Scenario s;
     s.text = text;
     s.proxies = proxies > 0 ? proxies : file["proxies"].get<int>();
@@ -216,8 +226,8 @@
     f.members = file["members"].get<int>();
     if (f.banks * f.members >= emulator::kGeneration)
         throw std::invalid_argument("scenario: more than " + std::to_string(emulator::kGeneration) +
-                                    " members");
-    f.zones.assign(std::begin(kZones), std::begin(kZones) + s.zones);
+                                    " endpoints");
+    f.zones.assign(std::begin(kZoneNames), std::begin(kZoneNames) + s.zones);
     const auto member = file.value("member", json::object());
     f.cores = member.value("cores", 2);
     f.queue = member.value("queue", std::size_t{64});
@@ -227,7 +237,7 @@
     f.most_work = from_ms(member, "most_work_ms", 73);
     if (f.most_work < f.least_work)
         throw std::invalid_argument("scenario: member.most_work_ms is less than least_work_ms");
-    f.checks = member.value("checks", true);  // as the operators' members do
+    f.checks = member.value("checks", true);  // as the operators' endpoints do
     f.cold.from = member.value("cold_from", 0.29);
     f.cold.warm_after = from_s(member, "warm_after_s", 18);
     const auto sessions = file.value("sessions", json::object());
@@ -236,12 +246,12 @@
     s.sessions.each = sessions.value("each", 20);
     s.sessions.brought = sessions.value("marks", "kept") == "brought";
     const auto discovery = file.value("discovery", json::object());
-    s.call_us = from_ms(discovery, "call_ms", 2);
-    s.entry_us = static_cast<Micros>(discovery.value("entry_us", 20.0));
-    s.longest_queue_us = from_ms(discovery, "longest_queue_ms", 500);
+    s.poll_work_us = from_ms(discovery, "call_ms", 2);
+    s.entry_work_us = static_cast<Micros>(discovery.value("entry_us", 20.0));
+    s.max_queue_us = from_ms(discovery, "longest_queue_ms", 500);
     f.list_late = from_ms(discovery, "list_late_ms", 900);
     f.role_late = from_ms(discovery, "role_late_ms", 3000);
-    draw(s, 1);  // names what a schema cannot say
+    draw(s, 1);  // checks what the schema cannot express; throws std::invalid_argument
     return s;
 }
 
@@ -262,17 +272,17 @@
 
 Micros Plan::first_fault_us() const { return steps.empty() ? scenario.length_us : steps.front().at_us; }
 
-sockaddr_in proxy_address(int block, int proxy) { return at(block, proxy, kProxyPort); }
+sockaddr_in proxy_address(int block, int proxy) { return loopback_address(block, proxy, kProxyPort); }
 
 emulator::DiscoverySettings discovery_settings(const Scenario& s, int block) {
     emulator::DiscoverySettings out;
     for (int p = 0; p < s.proxies; ++p) {
-        out.at.push_back(at(block, p, kDiscoveryPort));
+        out.at.push_back(loopback_address(block, p, kDiscoveryPort));
         out.hosts.push_back(host_of(block, p));
     }
-    out.call = s.call_us;
-    out.entry = s.entry_us;
-    out.longest_queue = s.longest_queue_us;
+    out.call = s.poll_work_us;
+    out.entry = s.entry_work_us;
+    out.longest_queue = s.max_queue_us;
     return out;
 }
 
@@ -296,7 +306,7 @@
     out.groups = s.fleet.banks;
     out.sessions = s.sessions;
     out.notice = s.notice_us;
-    out.grace = kGrace;
+    out.grace = kResponseGraceUs;
     out.seed = emulator::mixed(plan.seed, "load");
     for (int p = 0; p < s.proxies; ++p) {
         out.proxies.push_back(proxy_address(block, p));
--- a/fault_harness/scenario.h
+++ b/fault_harness/scenario.h
@@ -1,5 +1,5 @@
-// A scenario file and the plan drawn from it: which processes there are, and what goes wrong when, to whom.
-// Pure: one scenario and one seed give one plan, in whichever process it is drawn.
+// Scenario files and the plan derived from one: the processes of a run, and which fault affects which of them
+// when. Deterministic: each process of a run derives the same plan from the same scenario and seed.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 using emulator::Micros;
 using emulator::Time;
 
-enum class Do {
-    kill,   // SIGKILL; started again at the end
-    term,   // SIGTERM; started again at the end, or once it has ended
-    stop,   // SIGSTOP, and SIGCONT at the end
-    cut,    // an edge: nothing passes, nothing comes up
-    reset,  // its connections are reset, at the beginning only
+enum class FaultKind {
+    kill,   // SIGKILL; restarted at the end of the step
+    term,   // SIGTERM; restarted at the end of the step, or on exit if that is later
+    stop,   // SIGSTOP, then SIGCONT at the end of the step
+    cut,    // of an edge: no data passes and no connection is established
+    reset,  // resets the connections of an edge once, at the start of the step
     delay,
     slow,
     lose,
@@ -28,26 +28,26 @@
     discovery_empty,
     discovery_behind,
     discovery_gone,
-    discovery_silent,  // at the beginning only: the watches that are open are never answered
-    member_crash,      // and cold when it is back
+    discovery_silent,  // the watches open at the start of the step never get a response
+    member_crash,      // the endpoint is cold after its restart
     member_hang,
     member_replace,
     member_drain,
     member_stall,
     member_slow_apply,
 };
-enum class Ends { members, discovery, clients };  // what an edge leads to, from a proxy
+enum class EdgePeer { members, discovery, clients };  // the peer on an edge, seen from a proxy
 
-// One thing that goes wrong, with all that is drawn. Times count from the run's beginning.
-struct Step {
-    Do what = Do::kill;
+// One fault with all random choices made. Times count from the start of the run.
+struct FaultStep {
+    FaultKind what = FaultKind::kill;
     Micros at_us = 0, end_us = 0;
-    std::vector<int> proxies, members;  // those it concerns, sorted
-    Ends edge = Ends::members;
-    bool in = true, out = true;  // which ways of the edge: towards the stand-in, away from it
+    std::vector<int> proxies, members;  // indices of the affected ones, sorted
+    EdgePeer edge = EdgePeer::members;
+    bool in = true, out = true;  // affected directions: towards the emulator, away from it
     emulator::Condition condition;
     double slow_times = 1;
-    std::string text() const;  // for records
+    std::string text() const;  // description for records
 };
 
 struct Scenario {
@@ -56,26 +56,28 @@
     Micros steady_from_us = 0, length_us = 0, notice_us = 1'000'000;
     emulator::FleetSettings fleet;
     emulator::SessionSettings sessions;
-    Micros call_us = 0, entry_us = 0, longest_queue_us = 0;
-    std::string text;  // as it was read
+    Micros poll_work_us = 0, entry_work_us = 0, max_queue_us = 0;
+    std::string text;  // the file's contents
 
-    // JSON with comments; throws std::invalid_argument, a sentence that names the part that is wrong.
-    // `proxies` above 0 takes the place of the file's, with as many banks in proportion.
+    // Parses JSON with comments. Throws std::invalid_argument naming the invalid part. `proxies` above 0
+    // replaces the number in the file, and the number of replica groups is scaled in proportion.
     static Scenario read(const std::string& text, int proxies = 0);
 };
 
 struct Plan {
     Scenario scenario;
     std::uint64_t seed = 1;
-    std::vector<Step> steps;  // by time
-    // Where the first fault begins; the length where there is none.
+    std::vector<FaultStep> steps;  // ordered by start time
+    // Returns the start of the first fault, or the length of the run if there is none.
     Micros first_fault_us() const;
 };
+// Derives the plan from the scenario. Throws std::invalid_argument if a fault names an unknown target or ends
+// after the run.
 Plan draw(const Scenario& scenario, std::uint64_t seed);
 
 // ---- addresses: all of them within 127.`block`.0.0/16 ----
 constexpr std::uint16_t kProxyPort = 5433, kDiscoveryPort = 8500, kFirstMemberPort = 10'000;
-std::string host_of(int block, int proxy);  // of a proxy, and where it reaches everything else
+std::string host_of(int block, int proxy);  // of a proxy; its discovery and endpoints listen on the same host
 sockaddr_in proxy_address(int block, int proxy);
 emulator::DiscoverySettings discovery_settings(const Scenario& scenario, int block);
 emulator::FleetSettings fleet_settings(const Plan& plan, int block, int part, int parts);
--- a/fault_harness/tally.h
+++ b/fault_harness/tally.h
@@ -1,5 +1,5 @@
-// What a run comes to in figures: counts for each tenth of a second and process, and the return to full
-// service. Pure: events go in by time.
+// Figures of a run: counts per proxy and 100 ms, and the recovery to full service. Events must be added in
+// order of time.
 #pragma once
 
 #include <cstdint>
@@ -15,70 +15,74 @@
 using emulator::Micros;
 using emulator::Time;
 
-constexpr Micros kBin = 100'000;
+constexpr Micros kBinUs = 100'000;
 
 struct Bin {
-    // Requests by their first try's arrival, as it ended for the client.
-    std::uint64_t requests = 0, in_aim = 0;
-    // By the time of the event.
-    std::uint64_t answers = 0, refused = 0, failed = 0, none = 0, unsent = 0;  // of each try
-    std::uint64_t attempts = 0, turned = 0, links = 0, links_refused = 0, probes = 0;
-    // Connections that nobody could do without who sends each request on as it comes: a process's first to a
-    // bank, or its first there since one that stood idle so long was closed.
-    std::uint64_t links_needed = 0;
-    std::uint64_t calls = 0, calls_failed = 0;
-    int up = 0;  // 1 while it is ready; of all of them: how many are
+    // Counted at the arrival of a request's first try; `in_objective`: served within the latency objective.
+    std::uint64_t requests = 0, in_objective = 0;
+    // Counted at the time of the event.
+    std::uint64_t responses = 0, rejected = 0, failed = 0, unanswered = 0,
+                  unsent = 0;  // responses by outcome, for each try
+    std::uint64_t attempts = 0, rejected_by_endpoint = 0, connections = 0, connections_rejected = 0,
+                  health_checks = 0;
+    // Connections that a proxy cannot avoid if it forwards each request on arrival: its first to a replica
+    // group, and the first after its connections there were closed for being idle.
+    std::uint64_t connections_needed = 0;
+    std::uint64_t polls = 0, polls_failed = 0;
+    int up = 0;  // 1 while the proxy is ready; in totals the number of ready proxies
     Bin& operator+=(const Bin& other);
 };
 
-// How service came back. Rates are a second, counted over windows of one second.
-struct Return {
-    bool measured = false;    // there was a fault and a steady time before it
-    Time last_up = 0;         // when the last process that had gone was ready again; 0: none had gone
-    Micros full_after = -1;   // from then until service was full for good; -1: never in this run
-    double share_before = 0;  // of requests answered within their aim
+// The recovery of service after the first fault. Rates are per second, over windows of one second.
+struct Recovery {
+    bool measured = false;    // false if there was no fault, or less than 1 s of steady traffic before it
+    Time last_up = 0;         // when the last restarted proxy was ready again; 0: no proxy was down
+    Micros full_after = -1;   // from then until service stayed full; -1: not within the run
+    double share_before = 0;  // of requests served within their latency objective
     Micros p99_before = 0;
-    std::uint64_t worst_bins = 0;  // tenths of a second out of full service, from the fault on
-    struct Kind {
+    std::uint64_t degraded_bins = 0;  // 100 ms bins that begin a window without full service, since the fault
+    struct Rate {
         double steady = 0, highest = 0;
         double overshoot() const { return steady > 0 ? highest / steady : 0; }
-    } attempts, links, links_needed, calls, probes;
-    std::uint64_t refused = 0, failed = 0, none = 0, unsent = 0, requests = 0,
-                  in_aim = 0;  // from the fault on
+    } attempts, connections, connections_needed, polls, health_checks;
+    std::uint64_t rejected = 0, failed = 0, unanswered = 0, unsent = 0, requests = 0,
+                  in_objective = 0;  // since the fault
 };
 
 class Tally {
 public:
-    // `members` are in a bank; links that stand idle for `idle` are closed.
-    Tally(int proxies, Time begins, Micros length, int members = 1, Micros idle = 15'000'000);
-    void saw(const emulator::Event& event);
+    // `group_size`: endpoints per replica group. `idle_timeout`: time after which proxies close idle
+    // connections.
+    Tally(int proxies, Time start_time, Micros length, int group_size = 1, Micros idle_timeout = 15'000'000);
+    void add(const emulator::Event& event);
 
-    const std::vector<Bin>& of(int proxy) const { return bins_.at(static_cast<std::size_t>(proxy)); }
+    const std::vector<Bin>& proxy_bins(int proxy) const { return bins_.at(static_cast<std::size_t>(proxy)); }
     std::vector<Bin> total() const;
-    // Judged from `steady_from` to `fault` as the time before, and from `fault` on; both count from the
-    // beginning.
-    Return back_to_service(Micros steady_from, Micros fault) const;
-    // By class and end of the last try.
-    const std::map<std::pair<int, std::string>, std::uint64_t>& ends() const { return ends_; }
-    // By how much the rig's own turns came too late: the most in each second of each of its processes,
-    // sorted.
-    std::vector<Micros> busy() const;
-    // Latency of what was served within [from, to) of the beginning, by first arrival; 0 where nothing was.
+    // Compares service since `fault` with service from `steady_from` to `fault`. Both count from the start of
+    // the run.
+    Recovery recovery(Micros steady_from, Micros fault) const;
+    // Number of requests by request class and outcome of the last try.
+    const std::map<std::pair<int, std::string>, std::uint64_t>& outcomes() const { return outcomes_; }
+    // The longest timer delay in each second of each process of the fault harness, sorted.
+    std::vector<Micros> timer_delays() const;
+    // Latency quantile of served requests whose first try arrived within [from, to) of the start of the run;
+    // 0 if there are none.
     Micros quantile(double share, Micros from, Micros to) const;
 
 private:
     Bin* bin(int proxy, Time at);
-    bool needs_link(const emulator::Event& arrived);
+    bool needs_connection(const emulator::Event& arrived);
 
-    Time begins_;
-    int members_;
-    Micros idle_;
-    std::vector<std::map<int, Time>> banks_;  // by process: when it last sent to a bank
+    Time start_time_;
+    int group_size_;
+    Micros idle_timeout_;
+    std::vector<std::map<int, Time>>
+        group_last_sent_;  // by proxy and replica group: time of the last attempt
     std::vector<std::vector<Bin>> bins_;
-    std::vector<std::vector<std::int32_t>> latencies_;  // by bin of the first arrival, us
-    std::map<std::pair<int, std::string>, std::uint64_t> ends_;
+    std::vector<std::vector<std::int32_t>> latencies_;  // by bin of the first try's arrival, us
+    std::map<std::pair<int, std::string>, std::uint64_t> outcomes_;
     Time last_up_ = 0;
-    std::vector<Micros> busy_;
+    std::vector<Micros> timer_delays_;
 };
 
 }  // namespace fault_harness
--- a/src/app/ctl/command.h
+++ b/src/app/ctl/command.h
@@ -1,4 +1,4 @@
-// What the commands of sloestackctl share: their exit codes, and how they are called.
+// Declarations that the commands of sloestackctl share: exit codes, entry points and argument parsing.
 #pragma once
 
 #include <cxxopts.hpp>
@@ -9,14 +9,14 @@
 
 namespace sloestack::ctl {
 
-enum Exit { kGood = 0, kFound = 1, kBadInput = 2 };
+enum Exit { kSuccess = 0, kProblemsFound = 1, kInvalidInput = 2 };
 
-// A call that cannot be carried out as it is: exit code 2 and the sentence.
-struct BadCall : std::runtime_error {
+// Invalid command line. The program prints the message and exits with code 2.
+struct UsageError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-using Arguments = std::vector<std::string>;  // those behind the command's name
+using Arguments = std::vector<std::string>;  // the arguments after the command name
 int pcap_make(const Arguments& arguments);
 int pcap_info(const Arguments& arguments);
 int pcap_replay(const Arguments& arguments);
@@ -30,10 +30,11 @@
 int demo(const Arguments& arguments);
 int example_config(const Arguments& arguments);
 
-// Parses `arguments`; a missing or surplus positional, or a bad option, is a BadCall. Nothing where help was
-// asked for and has been printed.
+// Parses `arguments`. Returns std::nullopt if --help was given and the help text has been printed. Throws
+// UsageError on a surplus positional argument and cxxopts::exceptions::exception on an invalid option.
 std::optional<cxxopts::ParseResult> parse(cxxopts::Options& options, const Arguments& arguments,
                                           const std::vector<std::string>& positional);
+// Returns the value of option or positional argument `name`. Throws UsageError if it is missing.
 std::string required(const cxxopts::ParseResult& parsed, const std::string& name);
 
 }  // namespace sloestack::ctl
--- a/src/app/ctl/emulated_fleet.h
+++ b/src/app/ctl/emulated_fleet.h
@@ -1,5 +1,6 @@
-// Stand-ins and a proxy of their own, on loopback: what demo and rehearse play against. The proxy is the
-// program itself, started as a child beside this one, so that it can be killed and started again.
+// Emulated endpoints and discovery with a real proxy in front of them, all on loopback, for the commands demo
+// and rehearse. The proxy is the sloestack program, run as a child process so that it can be killed and
+// restarted.
 #pragma once
 
 #include <functional>
@@ -14,51 +15,52 @@
 
 namespace sloestack::ctl {
 
-struct RigSettings {
+struct EmulatedFleetSettings {
     emulator::FleetSettings fleet;
-    bool verbose = false;  // the proxy's log goes to standard error
+    bool verbose = false;  // pass the proxy's output through to this program's
     int sockets = 8192;
     emulator::Rules rules;
 };
 
-class Rig {
+class EmulatedFleet {
 public:
-    // Returns once the proxy answers. Throws std::runtime_error where it does not come up.
-    explicit Rig(const RigSettings& settings);
-    ~Rig();  // ends the proxy, and only that
-    Rig(const Rig&) = delete;
-    Rig& operator=(const Rig&) = delete;
+    // Starts the emulators and the proxy and returns once the proxy is ready. Throws std::runtime_error if
+    // the proxy does not become ready.
+    explicit EmulatedFleet(const EmulatedFleetSettings& settings);
+    ~EmulatedFleet();  // kills the proxy and deletes its configuration folder
+    EmulatedFleet(const EmulatedFleet&) = delete;
+    EmulatedFleet& operator=(const EmulatedFleet&) = delete;
 
     sockaddr_in proxy() const { return address_; }
-    std::string proxy_text() const;
+    std::string proxy_address_text() const;
     net::Loop& loop() { return loop_; }
     Deadlines& deadlines() { return deadlines_; }
     emulator::Checker& checker() { return checker_; }
     emulator::Fleet& fleet() { return *fleet_; }
     std::string discovery() const { return discovery_->address(); }
-    // Takes turns until it holds; `work` is done in each.
+    // Runs event-loop iterations until `until` returns true. Calls `work`, if set, before each iteration.
     void run(const std::function<bool()>& until, const std::function<void()>& work = {});
-    // SIGTERM, and whether the proxy then ended with 0.
-    bool stop();
-    std::int64_t resident_kb() const { return process_.resident_kb(); }  // 0 where it cannot be told
+    // Sends SIGTERM to the proxy. Returns true if it exits with status 0 within 10 s.
+    bool stop_proxy();
+    std::int64_t resident_kb() const { return process_.resident_kb(); }  // 0 if unknown
 
 private:
-    void start();
-    void kill_for(Micros down_for);
-    void turn();
+    void start_proxy();
+    void kill_and_restart_after(Micros down_for);
+    void run_iteration();
 
-    RigSettings settings_;
+    EmulatedFleetSettings settings_;
     Clock clock_;
     net::Loop loop_;
     Deadlines deadlines_{clock_};
     emulator::Checker checker_;
     std::unique_ptr<emulator::Discovery> discovery_;
     std::unique_ptr<emulator::Fleet> fleet_;
-    Deadline lost_, found_;
+    Deadline discovery_loss_, discovery_recovery_;
     sockaddr_in address_{};
     std::string folder_;
     fault_harness::Process process_;
-    Deadline again_;
+    Deadline restart_deadline_;
 };
 
 }  // namespace sloestack::ctl
--- a/src/app/ctl/fleet.cpp
+++ b/src/app/ctl/fleet.cpp
@@ -1,5 +1,4 @@
-// sloestackctl fleet: many processes of the program, faults between them, and the judgement of what came of
-// it.
+// sloestackctl fleet: runs many sloestack processes with injected faults and evaluates the result.
 #include <unistd.h>
 
 #include <cstdio>
@@ -16,38 +15,40 @@
 namespace sloestack::ctl {
 namespace {
 
-constexpr int kMostProxies = 1000;
+constexpr int kMaxProxies = 1000;
 
-// A folder of the caller's, which must be new or empty, or one of its own.
-std::string folder_of(const cxxopts::ParseResult& parsed) {
+// Returns the folder given by --out, which must be new or empty, or a new folder in /tmp.
+std::string run_folder(const cxxopts::ParseResult& parsed) {
     if (!parsed.count("out")) {
-        char made[] = "/tmp/sloestack-fleet-XXXXXX";
-        if (!mkdtemp(static_cast<char*>(made))) throw BadCall("no folder for the run; see --out");
-        return static_cast<char*>(made);
+        char path[] = "/tmp/sloestack-fleet-XXXXXX";
+        if (!mkdtemp(static_cast<char*>(path)))
+            throw UsageError("cannot create a folder in /tmp for the run; use --out");
+        return static_cast<char*>(path);
     }
     const auto out = parsed["out"].as<std::string>();
     std::error_code failed;
     std::filesystem::create_directories(out, failed);
-    if (failed || !std::filesystem::is_empty(out)) throw BadCall(out + " is no empty folder");
+    if (failed || !std::filesystem::is_empty(out))
+        throw UsageError("--out: " + out + " is not an empty folder");
     return out;
 }
 
-int told(const fault_harness::Verdict& verdict, bool as_json) {
+int print_verdict(const fault_harness::Verdict& verdict, bool as_json) {
     if (as_json)
         std::cout << verdict.figures.dump(2) << "\n";
     else
         fault_harness::print(verdict);
-    return verdict.broken.empty() ? kGood : kFound;
+    return verdict.violations.empty() ? kSuccess : kProblemsFound;
 }
 
-// A machine that stands still for a while must not decide a test's verdict.
+// On a busy machine all processes may stall for a while; the slack keeps that from failing a test.
 void add_slack(cxxopts::Options& options) {
-    options.add_options()("slack", "ms, added to every limit on time that the rules have",
+    options.add_options()("slack", "milliseconds added to each time limit of the rules",
                           cxxopts::value<double>()->default_value("0"));
 }
 std::int64_t slack_us(const cxxopts::ParseResult& parsed) {
     const auto ms = parsed["slack"].as<double>();
-    if (!(ms >= 0 && ms <= 60'000)) throw BadCall("--slack must lie between 0 and 60000");
+    if (!(ms >= 0 && ms <= 60'000)) throw UsageError("--slack must be between 0 and 60000 milliseconds");
     return static_cast<std::int64_t>(ms * 1000);
 }
 
@@ -56,21 +57,24 @@
 int fleet_run(const Arguments& arguments) {
     cxxopts::Options options(
         "sloestackctl fleet run",
-        "Plays a scenario against many processes of sloestack on loopback. Exit code 1 where a "
-        "rule was broken.");
-    options.add_options()("seed", "of traffic, faults and draws",
+        "Runs a scenario against many sloestack processes on loopback. Exits with code 1 if a "
+        "rule is violated.");
+    options.add_options()("seed", "seed of the random traffic and faults",
                           cxxopts::value<std::uint64_t>()->default_value("1"))(
-        "proxies", "in place of the file's, with as many banks in proportion", cxxopts::value<int>())(
-        "out", "an empty folder for the record, which stays", cxxopts::value<std::string>())(
-        "program", "the sloestack to start, in place of the one beside this", cxxopts::value<std::string>())(
-        "keep", "keep the record also where --out names no folder")("json", "report as JSON");
+        "proxies",
+        "overrides the number of proxies in the file; the number of replica groups is scaled in proportion",
+        cxxopts::value<int>())("out", "a new or empty folder for the record, which is kept",
+                               cxxopts::value<std::string>())(
+        "program", "path of the sloestack to run (default: in the folder of sloestackctl)",
+        cxxopts::value<std::string>())("keep", "keep the record even without --out")(
+        "json", "print the report as JSON");
     add_slack(options);
     const auto parsed = parse(options, arguments, {"file"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     const auto slack = slack_us(*parsed);
     const int proxies = parsed->count("proxies") ? (*parsed)["proxies"].as<int>() : 0;
-    if (parsed->count("proxies") && (proxies < 1 || proxies > kMostProxies))
-        throw BadCall("--proxies must lie between 1 and " + std::to_string(kMostProxies));
+    if (parsed->count("proxies") && (proxies < 1 || proxies > kMaxProxies))
+        throw UsageError("--proxies must be between 1 and " + std::to_string(kMaxProxies));
     fault_harness::RunSettings settings;
     settings.plan = fault_harness::draw(
         fault_harness::Scenario::read(fault_harness::read_text(required(*parsed, "file")), proxies),
@@ -78,11 +82,13 @@
     settings.proxy =
         parsed->count("program")
             ? (*parsed)["program"].as<std::string>()
-            : (std::filesystem::path(fault_harness::this_program()).parent_path() / "sloestack").string();
-    if (access(settings.proxy.c_str(), X_OK) != 0) throw BadCall(settings.proxy + " cannot be started");
-    settings.folder = folder_of(*parsed);
-    fault_harness::Conductor(settings).play();
-    const int out = told(fault_harness::judge(settings.folder, slack), parsed->count("json") > 0);
+            : (std::filesystem::path(fault_harness::this_program_path()).parent_path() / "sloestack")
+                  .string();
+    if (access(settings.proxy.c_str(), X_OK) != 0)
+        throw UsageError(settings.proxy + " is not an executable file");
+    settings.folder = run_folder(*parsed);
+    fault_harness::Conductor(settings).run();
+    const int out = print_verdict(fault_harness::evaluate(settings.folder, slack), parsed->count("json") > 0);
     const bool keep = parsed->count("out") || parsed->count("keep");
     if (!keep) std::filesystem::remove_all(settings.folder);
     if (keep && !parsed->count("json")) std::printf("record: %s\n", settings.folder.c_str());
@@ -90,41 +96,44 @@
 }
 
 int fleet_report(const Arguments& arguments) {
-    cxxopts::Options options("sloestackctl fleet report", "Judges the record of a run anew, and plots it.");
-    options.add_options()("json", "report as JSON")("plot",
-                                                    "write tables of each tenth of a second, and plot.png");
+    cxxopts::Options options("sloestackctl fleet report",
+                             "Evaluates the record of a run again, and optionally plots it.");
+    options.add_options()("json", "print the report as JSON")(
+        "plot", "write tables with a row for each 100 ms, and plot.png");
     add_slack(options);
     const auto parsed = parse(options, arguments, {"folder"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     const auto folder = required(*parsed, "folder");
-    const int out = told(fault_harness::judge(folder, slack_us(*parsed)), parsed->count("json") > 0);
+    const int out =
+        print_verdict(fault_harness::evaluate(folder, slack_us(*parsed)), parsed->count("json") > 0);
     if (parsed->count("plot") && !fault_harness::plot(folder))
-        std::cerr << "sloestackctl: no plot was made: gnuplot failed\n";
+        std::cerr << "sloestackctl: gnuplot is not installed or failed; plot.png was not written\n";
     return out;
 }
 
 int fleet_check(const Arguments& arguments) {
     cxxopts::Options options("sloestackctl fleet check",
-                             "Says whether a scenario can be played, and what it does.");
-    options.add_options()("seed", "of faults and draws", cxxopts::value<std::uint64_t>()->default_value("1"));
+                             "Validates a scenario and prints the faults that it injects.");
+    options.add_options()("seed", "seed of the random faults",
+                          cxxopts::value<std::uint64_t>()->default_value("1"));
     const auto parsed = parse(options, arguments, {"file"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     const auto plan = fault_harness::draw(
         fault_harness::Scenario::read(fault_harness::read_text(required(*parsed, "file"))),
         (*parsed)["seed"].as<std::uint64_t>());
     for (const auto& step : plan.steps)
         std::printf("%8.3f to %8.3f s: %s\n", static_cast<double>(step.at_us) / 1e6,
                     static_cast<double>(step.end_us) / 1e6, step.text().c_str());
-    return kGood;
+    return kSuccess;
 }
 
 int fleet_compare(const Arguments& arguments) {
-    cxxopts::Options options(
-        "sloestackctl fleet compare",
-        "Means with their 95 % intervals of the reports that bench/fleet.sh left in a folder, and "
-        "the second build against the first on the seeds that both have.");
+    cxxopts::Options options("sloestackctl fleet compare",
+                             "Prints means and 95 % confidence intervals of the reports that bench/fleet.sh "
+                             "wrote to a folder, and "
+                             "compares the second build with the first on the seeds that both have.");
     const auto parsed = parse(options, arguments, {"folder", "first", "second"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     std::vector<std::string> names = {required(*parsed, "first")};
     if (parsed->count("second")) names.push_back((*parsed)["second"].as<std::string>());
     std::string title;
@@ -135,23 +144,24 @@
         title = head;
         std::printf("  %-26s", row.figure.c_str());
         for (const auto& b : row.builds)
-            b.count ? std::printf(" %10.3f +- %-8.3f (%zu)", b.mean, b.half, b.count)
+            b.count ? std::printf(" %10.3f +- %-8.3f (%zu)", b.mean, b.half_width, b.count)
                     : std::printf(" %10s %-15s", "-", "");
-        if (row.change.count) std::printf("  change %+.3f +- %.3f", row.change.mean, row.change.half);
+        if (row.change.count) std::printf("  change %+.3f +- %.3f", row.change.mean, row.change.half_width);
         std::printf("\n");
     }
-    return kGood;
+    return kSuccess;
 }
 
 int fleet_part(const Arguments& arguments) {
-    cxxopts::Options options("sloestackctl fleet part", "One process of a run; started by fleet run.");
-    options.add_options()("role", "discovery, members or clients", cxxopts::value<std::string>())(
-        "number", "which of them", cxxopts::value<int>()->default_value("0"));
+    cxxopts::Options options("sloestackctl fleet part",
+                             "Runs one process of a fleet run. Started by fleet run.");
+    options.add_options()("role", "discovery, members (endpoints) or clients", cxxopts::value<std::string>())(
+        "number", "index among the processes of the role", cxxopts::value<int>()->default_value("0"));
     const auto parsed = parse(options, arguments, {"folder"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     fault_harness::run_part(required(*parsed, "folder"), required(*parsed, "role"),
                             (*parsed)["number"].as<int>());
-    return kGood;
+    return kSuccess;
 }
 
 }  // namespace sloestack::ctl
--- a/src/app/ctl/main.cpp
+++ b/src/app/ctl/main.cpp
@@ -1,4 +1,4 @@
-// sloestackctl: everything round the proxy that is a tool.
+// sloestackctl: command-line tools for the sloestack proxy.
 #include <sys/resource.h>
 
 #include <csignal>
@@ -17,29 +17,31 @@
     const char* help;
 };
 const std::map<std::string, Command> kCommands = {
-    {"pcap make", {pcap_make, "make a recording of mixed classes, damaged as captures are"}},
-    {"pcap info", {pcap_info, "say what a capture file holds and what of it cannot be read"}},
-    {"pcap replay", {pcap_replay, "play a capture against a proxy and compare the answers"}},
-    {"pcap rehearse", {pcap_rehearse, "the same with stand-ins and a proxy started for it"}},
+    {"pcap make", {pcap_make, "generate a capture of mixed request classes, optionally with faults"}},
+    {"pcap info", {pcap_info, "summarize a capture file and list what cannot be read"}},
+    {"pcap replay", {pcap_replay, "replay a capture against a proxy and compare the responses"}},
+    {"pcap rehearse", {pcap_rehearse, "replay a capture against emulators and a proxy started for it"}},
     {"pcap diff", {pcap_diff, "compare the conversations of two capture files"}},
-    {"fleet run", {fleet_run, "play a scenario: many processes of sloestack, faults between them"}},
-    {"fleet report", {fleet_report, "judge a run's record anew, and plot it"}},
-    {"fleet check", {fleet_check, "say whether a scenario can be played, and what it does when"}},
-    {"fleet compare", {fleet_compare, "compare the reports of two builds, seed by seed"}},
-    {"fleet part", {fleet_part, "one process of a run; fleet run starts it"}},
-    {"demo", {demo, "start stand-ins and a proxy, play traffic and print what came of it"}},
-    {"example-config", {example_config, "print a configuration that sloestack can be started with"}},
+    {"fleet run", {fleet_run, "run a fault scenario with many sloestack processes"}},
+    {"fleet report", {fleet_report, "evaluate the record of a run again, and plot it"}},
+    {"fleet check", {fleet_check, "validate a scenario and print when it injects which fault"}},
+    {"fleet compare", {fleet_compare, "compare the reports of two builds seed by seed"}},
+    {"fleet part", {fleet_part, "run one process of a fleet run; started by fleet run"}},
+    {"demo", {demo, "start emulators and a proxy, generate traffic and print the results"}},
+    {"example-config", {example_config, "print an example configuration for sloestack"}},
 };
 
-void help() {
-    std::cout << "sloestackctl: the tools round sloestack\n\nUsage:\n  sloestackctl COMMAND "
+void print_help() {
+    std::cout << "sloestackctl: command-line tools for sloestack\n\nUsage:\n  sloestackctl COMMAND "
                  "[OPTIONS]\n\nCommands:\n";
     for (const auto& [name, command] : kCommands) std::printf("  %-15s %s\n", name.c_str(), command.help);
     std::printf("  %-15s %s\n", "version", "print the version");
-    std::cout << "\nEach has --help. Exit codes: 0 good, 1 found something, 2 bad input.\n" << std::flush;
+    std::cout
+        << "\nEach command has --help. Exit codes: 0 success, 1 problems found or failure, 2 invalid input.\n"
+        << std::flush;
 }
 
-// Thousands of connections take as many descriptors.
+// Raises the limit on open files to its maximum: each of thousands of connections takes a descriptor.
 void raise_descriptors() {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -49,22 +51,23 @@
 
 int run(Arguments words) {
     if (words.empty() || words[0] == "--help" || words[0] == "-h") {
-        help();
-        return words.empty() ? kBadInput : kGood;
+        print_help();
+        return words.empty() ? kInvalidInput : kSuccess;
     }
     if (words[0] == "version") {
         std::cout << "sloestackctl " << SLOESTACK_VERSION << "\n";
-        return kGood;
+        return kSuccess;
     }
     auto name = words[0];
-    std::size_t taken = 1;
+    std::size_t name_words = 1;
     if ((name == "pcap" || name == "fleet") && words.size() > 1) {
         name += " " + words[1];
-        taken = 2;
+        name_words = 2;
     }
     const auto found = kCommands.find(name);
-    if (found == kCommands.end()) throw BadCall("\"" + name + "\" is no command; see sloestackctl --help");
-    return found->second.run({words.begin() + static_cast<std::ptrdiff_t>(taken), words.end()});
+    if (found == kCommands.end())
+        throw UsageError("unknown command \"" + name + "\"; see sloestackctl --help");
+    return found->second.run({words.begin() + static_cast<std::ptrdiff_t>(name_words), words.end()});
 }
 
 }  // namespace
@@ -88,12 +91,13 @@
         std::cout << options.help({""}) << "\n";
         return std::nullopt;
     }
-    if (!out.unmatched().empty()) throw BadCall("\"" + out.unmatched().front() + "\" is one word too many");
+    if (!out.unmatched().empty())
+        throw UsageError("unexpected argument \"" + out.unmatched().front() + "\"; see --help");
     return out;
 }
 
 std::string required(const cxxopts::ParseResult& parsed, const std::string& name) {
-    if (!parsed.count(name)) throw BadCall(name + " is missing; see --help");
+    if (!parsed.count(name)) throw UsageError(name + " is missing; see --help");
     return parsed[name].as<std::string>();
 }
 
@@ -105,7 +109,7 @@
     raise_descriptors();
     try {
         return run({argv + 1, argv + argc});
-    } catch (const BadCall& error) {
+    } catch (const UsageError& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
     } catch (const sloestack::pcap::BadFile& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
@@ -114,8 +118,8 @@
     } catch (const cxxopts::exceptions::exception& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
     } catch (const std::exception& error) {
-        std::cerr << "sloestackctl: cannot go on: " << error.what() << "\n";
-        return kFound;
+        std::cerr << "sloestackctl: failed: " << error.what() << "\n";
+        return kProblemsFound;
     }
-    return kBadInput;
+    return kInvalidInput;
 }
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -13,9 +13,9 @@
 namespace sloestack::ctl {
 namespace {
 
-constexpr std::size_t kCutRecord = 7;  // bytes taken off the end of a file for the damage "truncate"
+constexpr std::size_t kTruncatedBytes = 7;  // bytes removed from the end of the file for the fault "truncate"
 
-std::vector<std::string> words(const std::string& text, char at) {
+std::vector<std::string> split(const std::string& text, char at) {
     std::vector<std::string> out;
     for (std::size_t from = 0; from <= text.size();) {
         const auto end = std::min(text.find(at, from), text.size());
@@ -25,60 +25,66 @@
     return out;
 }
 
-double number(const std::string& text, const std::string& option) {
+double parse_number(const std::string& text, const std::string& option) {
     double out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(out))
-        throw BadCall("--" + option + ": \"" + text + "\" is no number");
+        throw UsageError("--" + option + ": \"" + text + "\" is not a number");
     return out;
 }
 
-sockaddr_in address(const std::string& text, const std::string& option) {
+sockaddr_in parse_address(const std::string& text, const std::string& option) {
     const auto at = net::parse_address(text);
-    if (!at) throw BadCall("--" + option + ": \"" + text + "\" is no address such as 127.0.0.1:6432");
+    if (!at) throw UsageError("--" + option + ": \"" + text + "\" is not an address such as 127.0.0.1:6432");
     return *at;
 }
 
-schedule::Stretch stretch(const std::string& text) {
-    const auto parts = words(text, ':');
+schedule::Stretch parse_stretch(const std::string& text) {
+    const auto parts = split(text, ':');
     if (parts.size() != 3)
-        throw BadCall("--stretch: FROM:TO:FACTOR is wanted, in seconds of the file, such as 30:60:0.5");
-    return {static_cast<Micros>(number(parts[0], "stretch") * 1e6),
-            static_cast<Micros>(number(parts[1], "stretch") * 1e6), number(parts[2], "stretch")};
+        throw UsageError(
+            "--stretch: must be FROM:TO:FACTOR, with times in seconds of the capture, such as 30:60:0.5");
+    return {static_cast<Micros>(parse_number(parts[0], "stretch") * 1e6),
+            static_cast<Micros>(parse_number(parts[1], "stretch") * 1e6), parse_number(parts[2], "stretch")};
 }
 
 }  // namespace
 
 int pcap_make(const Arguments& arguments) {
-    cxxopts::Options options("sloestackctl pcap make", "Makes a capture file of roster traffic.");
-    options.add_options()("minutes", "how long", cxxopts::value<double>()->default_value("1"))(
-        "rate", "requests a second", cxxopts::value<double>()->default_value("200"))(
+    cxxopts::Options options("sloestackctl pcap make",
+                             "Generates a capture file with traffic of all request classes.");
+    options.add_options()("minutes", "length of the capture", cxxopts::value<double>()->default_value("1"))(
+        "rate", "requests per second", cxxopts::value<double>()->default_value("200"))(
         "dialect", "postgres or tds", cxxopts::value<std::string>()->default_value("postgres"))(
-        "seed", "equal seeds make equal files", cxxopts::value<std::uint64_t>()->default_value("1"))(
-        "groups", "banks that the requests name", cxxopts::value<int>()->default_value("2"))(
-        "clients", "connections at once, at least", cxxopts::value<std::size_t>()->default_value("0"))(
+        "seed", "random seed; equal seeds produce equal files",
+        cxxopts::value<std::uint64_t>()->default_value("1"))(
+        "groups", "number of replica groups that requests address",
+        cxxopts::value<int>()->default_value("2"))("clients", "minimum number of simultaneous connections",
+                                                   cxxopts::value<std::size_t>()->default_value("0"))(
         "faults",
-        "damage to a connection each, separated by commas, NAME*N for N connections: " +
+        "faults, each applied to a connection of its own, separated by commas; NAME*N for N connections: " +
             emulator::damage_names(),
-        cxxopts::value<std::string>()->default_value(""))(
-        "o,output", "the file", cxxopts::value<std::string>())("json", "report as JSON");
+        cxxopts::value<std::string>()->default_value(""))("o,output", "path of the capture file to write",
+                                                          cxxopts::value<std::string>())(
+        "json", "print the report as JSON");
     const auto parsed = parse(options, arguments, {});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     emulator::MakeSettings settings;
     const auto minutes = (*parsed)["minutes"].as<double>();
     settings.rate = (*parsed)["rate"].as<double>();
     settings.groups = (*parsed)["groups"].as<int>();
-    if (!(minutes > 0 && minutes <= 1440)) throw BadCall("--minutes must lie above 0 and up to 1440");
+    if (!(minutes > 0 && minutes <= 1440)) throw UsageError("--minutes must be above 0 and at most 1440");
     if (!(settings.rate > 0 && settings.rate <= 100'000))
-        throw BadCall("--rate must lie above 0 and up to 100000");
-    if (settings.groups < 1 || settings.groups > 1000) throw BadCall("--groups must lie between 1 and 1000");
+        throw UsageError("--rate must be above 0 and at most 100000");
+    if (settings.groups < 1 || settings.groups > 1000)
+        throw UsageError("--groups must be between 1 and 1000");
     settings.clients = (*parsed)["clients"].as<std::size_t>();
     if (settings.clients > 40'000)
-        throw BadCall("--clients must be 40000 at most: a recording has one client machine");
+        throw UsageError("--clients must be at most 40000: all clients of a capture share one address");
     settings.length_us = static_cast<std::int64_t>(minutes * 60e6);
     settings.seed = (*parsed)["seed"].as<std::uint64_t>();
     settings.dialect = (*parsed)["dialect"].as<std::string>();
-    conversation::language(settings.dialect);  // that there is one is checked before a file is made
+    conversation::language(settings.dialect);  // throws on an unknown dialect before the file is created
     settings.damage = emulator::parse_damage((*parsed)["faults"].as<std::string>());
     const auto path = required(*parsed, "output");
     pcap::File file(path);
@@ -86,12 +92,12 @@
     file.close();
     if (std::find(settings.damage.begin(), settings.damage.end(), emulator::Damage::truncate) !=
         settings.damage.end())
-        std::filesystem::resize_file(path, std::filesystem::file_size(path) - kCutRecord);
+        std::filesystem::resize_file(path, std::filesystem::file_size(path) - kTruncatedBytes);
     if (!made.not_done.empty())
-        throw BadCall(std::to_string(made.not_done.size()) +
-                      " of the faults found no connection of their own; the file is there without them; more "
-                      "minutes or "
-                      "a higher rate make more connections");
+        throw UsageError(
+            std::to_string(made.not_done.size()) +
+            " faults were not applied because there were too few connections; the file was written "
+            "without them. Use more --minutes or a higher --rate to get more connections");
     if (parsed->count("json"))
         std::cout << nlohmann::json{{"file", path},
                                     {"packets", file.frames()},
@@ -102,15 +108,15 @@
     else
         std::cout << path << ": " << file.frames() << " packets, " << made.requests << " requests on "
                   << made.connections << " connections\n";
-    return kGood;
+    return kSuccess;
 }
 
 // ---- info ----
 conversation::RecordingSettings recording_settings(const cxxopts::ParseResult& parsed) {
     conversation::RecordingSettings out;
     if (parsed.count("server"))
-        for (const auto& text : words(parsed["server"].as<std::string>(), ','))
-            out.servers.push_back(pcap::endpoint_of(address(text, "server")));
+        for (const auto& text : split(parsed["server"].as<std::string>(), ','))
+            out.servers.push_back(pcap::endpoint_of(parse_address(text, "server")));
     out.streams.vlans_apart = parsed.count("vlans-apart") > 0;
     return out;
 }
@@ -153,7 +159,7 @@
 
 namespace {
 
-struct Nobody final : conversation::Listener {
+struct IgnoringListener final : conversation::Listener {
     void asked(const conversation::Asked&) override {}
     void answered(const conversation::Answered&) override {}
 };
@@ -170,17 +176,17 @@
                 static_cast<unsigned long long>(f.requests),
                 f.first_us ? static_cast<double>(*f.last_us - *f.first_us) / 1e6 : 0.0);
     table("requests by class", f.requests_by_class);
-    table("answers", f.answers);
-    table("servers (--server plays only some)", f.servers);
+    table("responses", f.answers);
+    table("servers (select some with --server)", f.servers);
     table("skipped", f.skipped);
     if (f.backwards)
         std::printf("timestamps that go backwards: %llu, by %lld us at most\n",
                     static_cast<unsigned long long>(f.backwards), static_cast<long long>(f.farthest_back_us));
     if (f.tcp.conflicting)
-        std::printf("retransmitted with other bytes: %llu; the first ones count\n",
+        std::printf("retransmissions with different bytes: %llu; the bytes sent first are used\n",
                     static_cast<unsigned long long>(f.tcp.conflicting));
     for (const auto& c : f.cut)
-        std::printf("cut: %s, %s side at byte %llu: %s\n", c.stream.c_str(),
+        std::printf("unreadable: %s, %s side from byte %llu: %s\n", c.stream.c_str(),
                     c.side == conversation::Side::client ? "client" : "server",
                     static_cast<unsigned long long>(c.offset), c.reason.c_str());
     if (!fault.empty()) std::printf("the file ends early: %s\n", fault.c_str());
@@ -190,17 +196,18 @@
 
 int pcap_info(const Arguments& arguments) {
     cxxopts::Options options("sloestackctl pcap info",
-                             "Says what a capture file holds. Exit code 1 where part of it cannot be read.");
-    options.add_options()("json", "report as JSON")("dialect", "postgres or tds",
-                                                    cxxopts::value<std::string>()->default_value("postgres"))(
-        "server", "only streams to these, separated by commas, such as 10.0.0.4:5433",
-        cxxopts::value<std::string>())("vlans-apart", "equal addresses on two VLANs are two streams");
+                             "Summarizes a capture file. Exits with code 1 if part of it cannot be read.");
+    options.add_options()("json", "print the report as JSON")(
+        "dialect", "postgres or tds", cxxopts::value<std::string>()->default_value("postgres"))(
+        "server", "only streams to these addresses, separated by commas, such as 10.0.0.4:5433",
+        cxxopts::value<std::string>())("vlans-apart",
+                                       "treat equal addresses on different VLANs as different streams");
     const auto parsed = parse(options, arguments, {"file"});
-    if (!parsed) return kGood;
-    Nobody nobody;
+    if (!parsed) return kSuccess;
+    IgnoringListener listener;
     conversation::Recording recording(required(*parsed, "file"),
                                       conversation::language((*parsed)["dialect"].as<std::string>()),
-                                      recording_settings(*parsed), nobody);
+                                      recording_settings(*parsed), listener);
     while (recording.step()) {
     }
     const auto& f = recording.figures();
@@ -208,32 +215,35 @@
         std::cout << to_json(f, recording.fault()).dump(2) << "\n";
     else
         print(f, recording.fault());
-    return f.cuts > 0 || !recording.fault().empty() ? kFound : kGood;
+    return f.cuts > 0 || !recording.fault().empty() ? kProblemsFound : kSuccess;
 }
 
 // ---- replay ----
 void add_play_options(cxxopts::Options& options) {
-    options.add_options()("speed", "2 plays in half the time", cxxopts::value<double>()->default_value("1"))(
-        "rate-cap", "requests a second at most; 0: as recorded",
+    options.add_options()("speed", "replay speed; 2 takes half the time",
+                          cxxopts::value<double>()->default_value("1"))(
+        "rate-cap", "maximum requests per second; 0 for no limit",
         cxxopts::value<double>()->default_value("0"))(
-        "stretch", "FROM:TO:FACTOR: that range of the file, in seconds, takes FACTOR times as long",
-        cxxopts::value<std::string>())("rounds",
-                                       "play the file so often, with new ids and keys after the first time",
-                                       cxxopts::value<int>()->default_value("1"))(
-        "seed", "of the new ids", cxxopts::value<std::uint64_t>()->default_value("1"))(
-        "backwards", "clamp or sort timestamps that go backwards",
+        "stretch",
+        "FROM:TO:FACTOR: the range FROM to TO, in seconds of the capture, takes FACTOR times as long",
+        cxxopts::value<std::string>())(
+        "rounds", "number of times to replay the capture; ids and keys are replaced from the second round on",
+        cxxopts::value<int>()->default_value("1"))("seed", "random seed of the new ids",
+                                                   cxxopts::value<std::uint64_t>()->default_value("1"))(
+        "backwards", "clamp or sort: how to handle timestamps that go backwards",
         cxxopts::value<std::string>()->default_value("clamp"))(
-        "sort-window", "seconds of the file within which sort puts in order",
-        cxxopts::value<double>()->default_value("2"))("late", "send or skip what is late",
+        "sort-window", "seconds of the capture over which sort reorders",
+        cxxopts::value<double>()->default_value("2"))("late", "send or skip: how to handle late requests",
                                                       cxxopts::value<std::string>()->default_value("send"))(
-        "late-after", "milliseconds from which a request is late",
+        "late-after", "delay in milliseconds from which a request counts as late",
         cxxopts::value<double>()->default_value("100"))(
-        "most-open", "requests without an answer at once",
+        "most-open", "maximum number of requests in flight",
         cxxopts::value<std::size_t>()->default_value("50000"))(
-        "server", "only streams to these, separated by commas, such as 10.0.0.4:5433",
-        cxxopts::value<std::string>())("vlans-apart", "equal addresses on two VLANs are two streams")(
-        "write", "both sides of what happens, as a capture file", cxxopts::value<std::string>())(
-        "json", "report as JSON");
+        "server", "only streams to these addresses, separated by commas, such as 10.0.0.4:5433",
+        cxxopts::value<std::string>())("vlans-apart",
+                                       "treat equal addresses on different VLANs as different streams")(
+        "write", "write both directions of the replay to this capture file", cxxopts::value<std::string>())(
+        "json", "print the report as JSON");
 }
 
 replay::Settings play_settings(const cxxopts::ParseResult& parsed, const std::string& path) {
@@ -242,19 +252,20 @@
     auto& s = out.schedule;
     s.speed = parsed["speed"].as<double>();
     s.most_per_second = parsed["rate-cap"].as<double>();
-    if (parsed.count("stretch")) s.stretch = stretch(parsed["stretch"].as<std::string>());
+    if (parsed.count("stretch")) s.stretch = parse_stretch(parsed["stretch"].as<std::string>());
     s.rounds = parsed["rounds"].as<int>();
     s.seed = parsed["seed"].as<std::uint64_t>();
     s.most_open = parsed["most-open"].as<std::size_t>();
-    const auto pick = [&](const char* option, const char* one, const char* other) {
-        const auto said = parsed[option].as<std::string>();
-        if (said != one && said != other)
-            throw BadCall(std::string("--") + option + ": " + one + " or " + other + " is wanted, not \"" +
-                          said + "\"");
-        return said == one;
+    const auto is_first_choice = [&](const char* option, const char* one, const char* other) {
+        const auto value = parsed[option].as<std::string>();
+        if (value != one && value != other)
+            throw UsageError(std::string("--") + option + ": " + one + " or " + other + " expected, not \"" +
+                             value + "\"");
+        return value == one;
     };
-    s.backwards = pick("backwards", "clamp", "sort") ? schedule::Backwards::clamp : schedule::Backwards::sort;
-    s.late = pick("late", "send", "skip") ? schedule::Late::send : schedule::Late::skip;
+    s.backwards = is_first_choice("backwards", "clamp", "sort") ? schedule::Backwards::clamp
+                                                                : schedule::Backwards::sort;
+    s.late = is_first_choice("late", "send", "skip") ? schedule::Late::send : schedule::Late::skip;
     s.sort_window = static_cast<Micros>(parsed["sort-window"].as<double>() * 1e6);
     s.late_after = static_cast<Micros>(parsed["late-after"].as<double>() * 1e3);
     out.recording = recording_settings(parsed);
@@ -312,7 +323,7 @@
               {"rate", c.held_by_rate}}}};
 }
 
-bool explained(const replay::Report& report) { return report.unexplained == 0; }
+bool is_explained(const replay::Report& report) { return report.unexplained == 0; }
 
 void print(const replay::Report& r, const schedule::Counters& c) {
     std::printf("%-14s %9s %9s %9s %9s %9s %9s %9s\n", "class", "sent", "served", "refused", "failed", "none",
@@ -324,15 +335,15 @@
                     static_cast<unsigned long long>(k.none),
                     static_cast<double>(k.latency_us.quantile(0.5)) / 1e3,
                     static_cast<double>(k.latency_us.quantile(0.99)) / 1e3);
-    std::printf("answers as recorded: %llu; different: %llu", static_cast<unsigned long long>(r.same),
+    std::printf("responses as recorded: %llu; different: %llu", static_cast<unsigned long long>(r.same),
                 static_cast<unsigned long long>(r.different));
     for (const auto& [cause, count] : r.causes)
-        std::printf(", %s %llu", cause == "none" ? "without a decision as their cause" : cause.c_str(),
+        std::printf(", %s %llu", cause == "none" ? "unexplained" : cause.c_str(),
                     static_cast<unsigned long long>(count));
-    std::printf("; recorded without an answer: %llu\n", static_cast<unsigned long long>(r.unrecorded));
+    std::printf("; no recorded response: %llu\n", static_cast<unsigned long long>(r.unrecorded));
     for (const auto& [why, count] : r.skipped)
         std::printf("skipped: %llu, %s\n", static_cast<unsigned long long>(count), why.c_str());
-    std::printf("sends late: p50 %lld us, p99 %lld us, %llu by more than the limit\n",
+    std::printf("delay of sends: p50 %lld us, p99 %lld us, %llu above the limit\n",
                 static_cast<long long>(r.own_late_us.quantile(0.5)),
                 static_cast<long long>(r.own_late_us.quantile(0.99)),
                 static_cast<unsigned long long>(c.late));
@@ -344,24 +355,24 @@
 }
 
 int pcap_replay(const Arguments& arguments) {
-    cxxopts::Options options(
-        "sloestackctl pcap replay",
-        "Plays a capture against a proxy. Exit code 1 where an answer differs and no decision of "
-        "the proxy is the cause.");
-    options.add_options()("to", "the proxy's address", cxxopts::value<std::string>())(
+    cxxopts::Options options("sloestackctl pcap replay",
+                             "Replays a capture against a proxy. Exits with code 1 if a response differs and "
+                             "the difference is not "
+                             "caused by a decision of the proxy.");
+    options.add_options()("to", "address of the proxy", cxxopts::value<std::string>())(
         "dialect", "postgres or tds", cxxopts::value<std::string>()->default_value("postgres"));
     add_play_options(options);
     const auto parsed = parse(options, arguments, {"file"});
-    if (!parsed) return kGood;
+    if (!parsed) return kSuccess;
     auto settings = play_settings(*parsed, required(*parsed, "file"));
-    settings.to = address(required(*parsed, "to"), "to");
+    settings.to = parse_address(required(*parsed, "to"), "to");
     const Clock clock;
     net::Loop loop;
     Deadlines deadlines(clock);
     Output output(*parsed);
     replay::Replay run(loop, deadlines, settings,
                        conversation::language((*parsed)["dialect"].as<std::string>()),
-                       deadlines.now() + kStartsIn, output.writer());
+                       deadlines.now() + kStartDelayUs, output.writer());
     while (!run.over()) {
         run.work();
         if (run.over()) break;
@@ -378,7 +389,7 @@
     } else {
         print(run.report(), run.schedule().counters());
     }
-    return explained(run.report()) ? kGood : kFound;
+    return is_explained(run.report()) ? kSuccess : kProblemsFound;
 }
 
 }  // namespace sloestack::ctl
--- a/src/app/ctl/play.h
+++ b/src/app/ctl/play.h
@@ -1,4 +1,5 @@
-// What replay and rehearse share: the options of a schedule, and how a replay's report reads.
+// Shared by the commands replay, rehearse, info and diff: replay options, report output and conversion to
+// JSON.
 #pragma once
 
 #include <memory>
@@ -10,13 +11,13 @@
 
 namespace sloestack::ctl {
 
-constexpr Micros kStartsIn = 50'000;  // from the call to the first step of a replay
+constexpr Micros kStartDelayUs = 50'000;  // from the start of the command to the first step of a replay
 
-// Where --write asks for it, the capture file that a replay writes.
+// The capture file that a replay writes if --write is given.
 class Output {
 public:
     explicit Output(const cxxopts::ParseResult& parsed);      // throws pcap::BadFile
-    writer::Writer* writer() const { return writer_.get(); }  // null where nothing is written
+    writer::Writer* writer() const { return writer_.get(); }  // null without --write
     void close();                                             // throws pcap::BadFile
 
 private:
@@ -25,14 +26,14 @@
 };
 
 void add_play_options(cxxopts::Options& options);
-// Throws BadCall naming the option that is wrong.
+// Throws UsageError naming the invalid option.
 replay::Settings play_settings(const cxxopts::ParseResult& parsed, const std::string& path);
 conversation::RecordingSettings recording_settings(const cxxopts::ParseResult& parsed);
 nlohmann::json to_json(const conversation::Figures& figures, const std::string& fault);
 nlohmann::json to_json(const replay::Report& report, const schedule::Counters& counters);
 nlohmann::json quantiles(const histogram::Histogram& h);
 void print(const replay::Report& report, const schedule::Counters& counters);
-// Whether every difference has a cause that a proxy decided.
-bool explained(const replay::Report& report);
+// Returns true if every difference is caused by a decision of the proxy.
+bool is_explained(const replay::Report& report);
 
 }  // namespace sloestack::ctl
--- a/tests/fault_harness/compare_test.cpp
+++ b/tests/fault_harness/compare_test.cpp
@@ -1,4 +1,4 @@
-// Runs compared pair by pair.
+// Comparison of the reports of two builds.
 #include "fault_harness/compare.h"
 
 #include <gtest/gtest.h>
@@ -7,15 +7,16 @@
 
 using namespace fault_harness;
 
-TEST(Interval, IsStudents) {
+TEST(Interval, UsesStudentsDistribution) {
     const auto i = interval({1, 2, 3, 4, 5});
     EXPECT_DOUBLE_EQ(i.mean, 3);
-    EXPECT_NEAR(i.half, 2.776 * 0.70711, 1e-3);  // t of four degrees x the standard error
-    EXPECT_EQ(interval({7}).half, 0);
+    EXPECT_NEAR(i.half_width, 2.776 * 0.70711,
+                1e-3);  // t for four degrees of freedom times the standard error
+    EXPECT_EQ(interval({7}).half_width, 0);
     EXPECT_EQ(interval({}).count, 0u);
 }
 
-Sample sample(const std::string& build, std::uint64_t seed, double links) {
+Sample make_sample(const std::string& build, std::uint64_t seed, double links) {
     Sample s;
     s.build = build;
     s.scenario = "x";
@@ -25,23 +26,23 @@
     return s;
 }
 
-TEST(Compare, TakesDifferencesOnTheSeedsThatBothHave) {
-    const auto rows = compare(
-        {sample("a", 1, 10), sample("a", 2, 30), sample("b", 1, 8), sample("b", 2, 27), sample("b", 3, 1000)},
-        {"a", "b"});
-    bool seen = false;
+TEST(Compare, ComparesBuildsOnTheSeedsThatBothHave) {
+    const auto rows = compare({make_sample("a", 1, 10), make_sample("a", 2, 30), make_sample("b", 1, 8),
+                               make_sample("b", 2, 27), make_sample("b", 3, 1000)},
+                              {"a", "b"});
+    bool found = false;
     for (const auto& row : rows) {
         if (row.figure == "full service after, s") {
             EXPECT_EQ(row.builds[0].count, 0u);
         }
         if (row.figure != "links at most") continue;
-        seen = true;
+        found = true;
         EXPECT_DOUBLE_EQ(row.builds[0].mean, 20);
         EXPECT_EQ(row.builds[1].count, 3u);
         EXPECT_EQ(row.change.count, 2u);
         EXPECT_DOUBLE_EQ(row.change.mean, -2.5);
     }
-    EXPECT_TRUE(seen);
+    EXPECT_TRUE(found);
 }
 
 }  // namespace
--- a/tests/rehearse_test.sh
+++ b/tests/rehearse_test.sh
@@ -90,9 +90,9 @@
 calls)  # bad input: a sentence, exit code 2, and nothing started
     exits 2 "$ctl"
     exits 2 "$ctl" nonsense
-    says 'is no command'
+    says 'unknown command "nonsense"'
     exits 2 "$ctl" pcap make --minutes 0 -o "$folder/x"
-    says 'minutes must lie'
+    says 'minutes must be above 0'
     exits 2 "$ctl" pcap make --faults boom -o "$folder/x"
     says 'is no damage'
     exits 2 "$ctl" pcap make
@@ -105,7 +105,7 @@
     exits 2 "$ctl" pcap replay "$folder/a.pcap"
     says 'to is missing'
     exits 2 "$ctl" pcap replay "$folder/a.pcap" --to here
-    says 'is no address'
+    says 'is not an address'
     exits 2 "$ctl" pcap replay "$folder/a.pcap" --to 127.0.0.1:1 --speed 0
     says 'speed must lie'
     exits 2 "$ctl" pcap replay "$folder/a.pcap" --to 127.0.0.1:1 --stretch 5
