--- a/src/app/ctl/fleet.cpp
+++ b/src/app/ctl/fleet.cpp
@@ -29,7 +29,7 @@
     std::error_code failed;
     std::filesystem::create_directories(out, failed);
     if (failed || !std::filesystem::is_empty(out))
-        throw UsageError("--out: " + out + " is not an empty folder");
+        throw UsageError(out + " is not an empty folder; --out must name a new or empty one");
     return out;
 }
 
--- a/src/app/ctl/main.cpp
+++ b/src/app/ctl/main.cpp
@@ -118,7 +118,7 @@
     } catch (const cxxopts::exceptions::exception& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
     } catch (const std::exception& error) {
-        std::cerr << "sloestackctl: failed: " << error.what() << "\n";
+        std::cerr << "sloestackctl: cannot go on: " << error.what() << "\n";
         return kProblemsFound;
     }
     return kInvalidInput;
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -222,7 +222,7 @@
 void add_play_options(cxxopts::Options& options) {
     options.add_options()("speed", "replay speed; 2 takes half the time",
                           cxxopts::value<double>()->default_value("1"))(
-        "rate-cap", "maximum requests per second; 0 for no limit",
+        "rate-cap", "maximum requests per second; 0: as recorded",
         cxxopts::value<double>()->default_value("0"))(
         "stretch",
         "FROM:TO:FACTOR: the range FROM to TO, in seconds of the capture, takes FACTOR times as long",
