--- a/emulator/callers.cpp
+++ b/emulator/callers.cpp
@@ -47,9 +47,9 @@
                 if (!due(made_[c])) continue;
                 ++pairs;
                 in_time += told - made_[c] < PollBackoff::kNotificationBoundUs;
-                report_.last_told = std::max(report_.last_told, told - made_[c]);
+                report_.longest_notification_us = std::max(report_.longest_notification_us, told - made_[c]);
             }
-        if (pairs > 0) report_.told_in_time = in_time / pairs;
+        if (pairs > 0) report_.notified_in_time = in_time / pairs;
         for (const auto& r : routers_) report_.watching += r.parked;
         return report_;
     }
@@ -75,7 +75,7 @@
         r.begun = now_, r.next = r.times.next(), r.parked = false;
         const int call = ++r.call;
         at(now_ + r.next.timeout_us, Event::give_up, who, call);
-        if (goes_on && s_.held_are_free) return handled(r, who);
+        if (goes_on && s_.long_polls_are_free) return handled(r, who);
         const Time from = std::max(now_, busy_until_);
         if (from - now_ > s_.longest_queue) return delay_after_failure(r, who, true);
         busy_until_ = from + static_cast<Micros>(1e6 / (s_.capacity * s_.routers));
--- a/emulator/checker.h
+++ b/emulator/checker.h
@@ -19,7 +19,7 @@
     int most_attempts = 10;
 };
 
-class Checker final : public Witness {
+class Checker final : public EventSink {
 public:
     explicit Checker(const Rules& rules) : rules_(rules) {}
 
--- a/emulator/discovery.cpp
+++ b/emulator/discovery.cpp
@@ -140,7 +140,7 @@
 };
 
 Discovery::Discovery(net::Loop& loop, Deadlines& deadlines, const DiscoverySettings& settings,
-                     std::vector<Listed> members, Witness& witness)
+                     std::vector<Listed> members, EventSink& witness)
     : loop_(loop), deadlines_(deadlines), settings_(settings), witness_(witness) {
     for (auto& m : members) {
         const auto name = m.name;
--- a/emulator/discovery.h
+++ b/emulator/discovery.h
@@ -39,7 +39,7 @@
 
     // Throws std::runtime_error where an address is not to be had.
     Discovery(sloestack::net::Loop& loop, Deadlines& deadlines, const DiscoverySettings& settings,
-              std::vector<Listed> members, Witness& witness);
+              std::vector<Listed> members, EventSink& witness);
     ~Discovery();
 
     void update(const Listed& member);  // a change, by its name; who watches is told
@@ -79,7 +79,7 @@
     sloestack::net::Loop& loop_;
     Deadlines& deadlines_;
     DiscoverySettings settings_;
-    Witness& witness_;
+    EventSink& witness_;
     View now_, first_;
     State state_ = State::up;
     double slow_ = 1;
--- a/emulator/event.h
+++ b/emulator/event.h
@@ -51,9 +51,9 @@
 std::string to_line(const Event& event);
 Event from_line(const std::string& line);
 
-class Witness {
+class EventSink {
 public:
-    virtual ~Witness() = default;
+    virtual ~EventSink() = default;
     virtual void saw(const Event& event) = 0;
 };
 
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -157,7 +157,7 @@
 };
 
 // ---- the fleet ----
-Fleet::Fleet(net::Loop& loop, Deadlines& deadlines, const FleetSettings& settings, Witness& witness,
+Fleet::Fleet(net::Loop& loop, Deadlines& deadlines, const FleetSettings& settings, EventSink& witness,
              std::function<void(const Listed&)> listed, std::function<void(Micros)> restart)
     : loop_(loop),
       deadlines_(deadlines),
@@ -629,7 +629,7 @@
     } else {
         value = value_of(code_in(job.statement));
     }
-    const auto row = answer_of(value, write);
+    const auto row = build_row_response(value, write);
     e.value = digest_of(row).low;
     witness_.saw(e);
     if (!job.peer) return;
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -53,7 +53,7 @@
 public:
     // Its time begins now. `listed` is told what discovery is to say of its members, late as it is; `restart`
     // is called for Trouble::restart. Throws std::runtime_error where there is no port to be had.
-    Fleet(net::Loop& loop, Deadlines& deadlines, const FleetSettings& settings, Witness& witness,
+    Fleet(net::Loop& loop, Deadlines& deadlines, const FleetSettings& settings, EventSink& witness,
           std::function<void(const Listed&)> listed, std::function<void(Micros down_for)> restart = {});
     ~Fleet();
     Fleet(const Fleet&) = delete;
@@ -107,7 +107,7 @@
     net::Loop& loop_;
     Deadlines& deadlines_;
     FleetSettings settings_;
-    Witness& witness_;
+    EventSink& witness_;
     std::function<void(const Listed&)> listed_;
     std::function<void(Micros)> restart_;
     Time begun_;
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -170,7 +170,7 @@
 };
 
 Load::Load(sloestack::net::Loop& loop, sloestack::Deadlines& deadlines, const LoadSettings& settings,
-           Witness& witness)
+           EventSink& witness)
     : loop_(loop),
       deadlines_(deadlines),
       settings_(settings),
@@ -321,7 +321,7 @@
         if (a.kind == Kind::served) {
             ++count.served;
             count.latency_us.add(now - asked.first_at);
-            if (now - asked.first_at <= model.aim_us) ++count.in_aim;
+            if (now - asked.first_at <= model.latency_objective_us) ++count.in_aim;
         }
         if (a.kind == Kind::refused) ++count.refused;
         if (a.kind == Kind::failed) ++count.failed;
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -68,7 +68,7 @@
 class Load {
 public:
     Load(sloestack::net::Loop& loop, sloestack::Deadlines& deadlines, const LoadSettings& settings,
-         Witness& witness);
+         EventSink& witness);
     ~Load();
     bool over() const { return over_ == homes_.size() && open_ == 0; }
     const ClassCount& count(int request_class) const { return counts_[request_class]; }
@@ -112,7 +112,7 @@
     sloestack::net::Loop& loop_;
     sloestack::Deadlines& deadlines_;
     LoadSettings settings_;
-    Witness& witness_;
+    EventSink& witness_;
     Random random_;
     std::int64_t start_;
     std::size_t over_ = 0, open_ = 0;
--- a/emulator/make.cpp
+++ b/emulator/make.cpp
@@ -191,7 +191,7 @@
             pgwire::Builder(message).query(statement_of(q));
             return message;
         };
-        out.answer = answer_of;
+        out.answer = build_row_response;
         return out;
     }
     if (dialect != "tds")
@@ -215,7 +215,7 @@
         return tds_message(tds::PacketType::batch, tds::build_batch(tds_statement_of(q)));
     };
     out.answer = [](std::string_view value, bool) {
-        return tds_message(tds::PacketType::result, tds_answer_of(value));
+        return tds_message(tds::PacketType::result, build_tds_row_response(value));
     };
     return out;
 }
@@ -240,7 +240,7 @@
         for (const auto d : settings.damage)
             if (!of_file(d)) plans_.push_back(d);
     }
-    Made run() {
+    RecordingReport run() {
         auto& random = drawing_.random();
         double at = 0;
         const auto end = settings_.begins_us + settings_.length_us;
@@ -254,7 +254,7 @@
         play(end + kTwoSeconds);
         for (auto& c : connections_)
             if (c.open) writer_.finish(c.number, Side::client, last_);
-        made_.not_done.assign(plans_.begin(), plans_.end());
+        made_.unapplied_damage.assign(plans_.begin(), plans_.end());
         return made_;
     }
 
@@ -421,7 +421,7 @@
     std::optional<std::uint16_t> free_port_;
     std::uint16_t port_ = kFirstPort;
     std::int64_t last_ = 0;
-    Made made_;
+    RecordingReport made_;
 };
 
 }  // namespace
@@ -457,6 +457,8 @@
     return out;
 }
 
-Made make(const MakeSettings& settings, sloestack::pcap::Sink& out) { return Maker(settings, out).run(); }
+RecordingReport make(const MakeSettings& settings, sloestack::pcap::Sink& out) {
+    return Maker(settings, out).run();
+}
 
 }  // namespace emulator
--- a/emulator/make.h
+++ b/emulator/make.h
@@ -52,12 +52,12 @@
 std::vector<Damage> parse_damage(const std::string& text);
 std::string damage_names();
 
-struct Made {
+struct RecordingReport {
     std::uint64_t requests = 0, connections = 0;
-    std::vector<Damage> not_done;  // too few connections to do it to
+    std::vector<Damage> unapplied_damage;  // too few connections to do it to
 };
 // Damage::truncate is the caller's: it takes the end off the file.
 // Throws std::invalid_argument where there is no such dialect.
-Made make(const MakeSettings& settings, sloestack::pcap::Sink& out);
+RecordingReport make(const MakeSettings& settings, sloestack::pcap::Sink& out);
 
 }  // namespace emulator
--- a/emulator/settings.cpp
+++ b/emulator/settings.cpp
@@ -14,7 +14,7 @@
                            {"effect", c.write ? "idempotency_key" : "read_like"},
                            {"group", "cell"},
                            {"memory-span-us", 5'000'000},
-                           {"promise-us", c.aim_us},
+                           {"promise-us", c.latency_objective_us},
                            {"deadline-us", c.patience_us},
                            {"worth", c.worth},
                            {"late-worth", c.write ? 0.5 : 0.0}});
@@ -65,7 +65,7 @@
     const auto& c = kClasses[kSessionRead];
     settings["classes"].push_back({{"name", c.name},
                                    {"effect", "read_like"},
-                                   {"promise-us", c.aim_us},
+                                   {"promise-us", c.latency_objective_us},
                                    {"deadline-us", c.patience_us},
                                    {"worth", c.worth},
                                    {"late-worth", 0.0}});
--- a/emulator/values.cpp
+++ b/emulator/values.cpp
@@ -105,7 +105,7 @@
     return out;
 }
 
-std::string answer_of(std::string_view value, bool write) {
+std::string build_row_response(std::string_view value, bool write) {
     std::string out;
     out.reserve(value.size() + 96);
     sloestack::pgwire::Builder(out)
@@ -116,7 +116,7 @@
     return out;
 }
 
-std::string tds_answer_of(std::string_view value) {
+std::string build_tds_row_response(std::string_view value) {
     namespace tds = sloestack::tds;
     tds::Column column;
     column.name = "data";
--- a/emulator/values.h
+++ b/emulator/values.h
@@ -15,7 +15,7 @@
     bool write;
     std::int64_t bound_us;     // how old its data may be; 0: any age
     std::int64_t patience_us;  // given up after
-    std::int64_t aim_us;
+    std::int64_t latency_objective_us;
     double worth;
     bool session = false;  // must see what its session has written
 };
@@ -63,8 +63,8 @@
 std::string code_in(std::string_view statement);
 std::string data_in(std::string_view statement);
 // The four messages that answer it: description, row, end, ready.
-std::string answer_of(std::string_view value, bool write);
+std::string build_row_response(std::string_view value, bool write);
 // The same in TDS: columns, row and DONE, as the payload of a message.
-std::string tds_answer_of(std::string_view value);
+std::string build_tds_row_response(std::string_view value);
 
 }  // namespace emulator
--- a/fault_harness/record.h
+++ b/fault_harness/record.h
@@ -10,7 +10,7 @@
 
 namespace fault_harness {
 
-class Recorder final : public emulator::Witness {
+class Recorder final : public emulator::EventSink {
 public:
     explicit Recorder(const std::string& path);  // throws std::runtime_error where it cannot be written
     void saw(const emulator::Event& event) override;
--- a/fault_harness/tally.cpp
+++ b/fault_harness/tally.cpp
@@ -73,7 +73,7 @@
             ++first->requests;
             if (e.word == "served") {
                 const auto latency = e.at - e.since;
-                if (latency <= emulator::kClasses[e.request_class].aim_us) ++first->in_aim;
+                if (latency <= emulator::kClasses[e.request_class].latency_objective_us) ++first->in_aim;
                 latencies_[static_cast<std::size_t>((e.since - begins_) / kBin)].push_back(
                     static_cast<std::int32_t>(latency));
             }
--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -82,7 +82,7 @@
     pgwire::Builder(query).query(
         "SELECT data FROM facts WHERE code = 'a' /* id=1,c=roster-view,d=600,cluster=0 */");
     const std::pair<int, std::string> messages[] = {
-        {0, startup}, {1, startup_response}, {0, query}, {1, emulator::answer_of("value", false)}};
+        {0, startup}, {1, startup_response}, {0, query}, {1, emulator::build_row_response("value", false)}};
     Corpus out;
     for (const std::size_t step : {1u, 5u, 50u, 127u}) {
         std::string bytes;
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -87,8 +87,8 @@
     if (std::find(settings.damage.begin(), settings.damage.end(), emulator::Damage::truncate) !=
         settings.damage.end())
         std::filesystem::resize_file(path, std::filesystem::file_size(path) - kCutRecord);
-    if (!made.not_done.empty())
-        throw BadCall(std::to_string(made.not_done.size()) +
+    if (!made.unapplied_damage.empty())
+        throw BadCall(std::to_string(made.unapplied_damage.size()) +
                       " of the faults found no connection of their own; the file is there without them; more "
                       "minutes or "
                       "a higher rate make more connections");
--- a/tests/decision/discovery_poll_fleet_test.cpp
+++ b/tests/decision/discovery_poll_fleet_test.cpp
@@ -14,7 +14,8 @@
 // once uses no capacity.
 CallersReport simulate_fleet(int routers, double capacity, bool long_polls_are_free) {
     CallersSettings settings;
-    settings.routers = routers, settings.capacity = capacity, settings.held_are_free = long_polls_are_free;
+    settings.routers = routers, settings.capacity = capacity,
+    settings.long_polls_are_free = long_polls_are_free;
     settings.change_every = 4'000'000, settings.last_change = 20'000'000, settings.length = 60'000'000;
     return emulator::play_callers(settings);
 }
@@ -39,7 +40,7 @@
     for (const int routers : {3, 30, 300, 1700})
         for (const double capacity : {0.25, 0.3, 0.5, 1.0, 3.0}) {
             const auto report = simulate_fleet(routers, capacity, true);
-            EXPECT_EQ(report.told_in_time, 1) << routers << " at " << capacity;
+            EXPECT_EQ(report.notified_in_time, 1) << routers << " at " << capacity;
             EXPECT_LE(report.failed, 2 * routers) << routers << " at " << capacity;
         }
 }
@@ -48,7 +49,7 @@
 TEST(DiscoveryPollSchedule, NotifiesInTimeFromHalfAPollIfLongPollsUseCapacity) {
     for (const int routers : {30, 300, 1700})
         for (const double capacity : {0.5, 0.7, 1.0, 3.0})
-            EXPECT_EQ(simulate_fleet(routers, capacity, false).told_in_time, 1)
+            EXPECT_EQ(simulate_fleet(routers, capacity, false).notified_in_time, 1)
                 << routers << " at " << capacity;
 }
 
--- a/tests/record/conversation_test.cpp
+++ b/tests/record/conversation_test.cpp
@@ -47,7 +47,7 @@
                                          "answered 1 refused 53300 40000"};
 
 TEST(Conversation, IsTheSameHoweverItsBytesAreSplit) {
-    const auto answer = emulator::answer_of("value", false);
+    const auto answer = emulator::build_row_response("value", false);
     for (const std::size_t step :
          {std::size_t{1}, std::size_t{2}, std::size_t{3}, std::size_t{7}, std::string::npos}) {
         Talk t;
@@ -64,7 +64,7 @@
 }
 
 TEST(Conversation, ALargeValuePassesWithoutBeingHeld) {
-    const auto answer = emulator::answer_of(std::string(3'000'000, 'v'), false);
+    const auto answer = emulator::build_row_response(std::string(3'000'000, 'v'), false);
     for (const std::size_t step : {std::size_t{1000}, std::size_t{1460}, std::size_t{200'000}}) {
         Talk t;
         t.say(Side::client, startup() + kRead);
@@ -102,7 +102,7 @@
 }
 
 TEST(Conversation, ACutAtAnyByteOfAnAnswerLeavesItWithoutOne) {
-    const auto answer = emulator::answer_of("value", false);
+    const auto answer = emulator::build_row_response("value", false);
     for (std::size_t n = 0; n < answer.size(); ++n) {
         Talk t;
         t.say(Side::client, startup() + kRead);
@@ -127,7 +127,7 @@
     t.say(Side::client, startup() + kRead + query("") + kWrite);
     std::string rest;
     pgwire::Builder(rest).empty_query_response().ready_for_query();
-    t.say(Side::server, greeting() + emulator::answer_of("x", false) + rest + refusal());
+    t.say(Side::server, greeting() + emulator::build_row_response("x", false) + rest + refusal());
     const std::vector<std::string> wanted = {"opened " + std::to_string(startup().size()),
                                              "asked 0 1 roster-view  600000 ahead",
                                              "asked 1    0 ahead",
@@ -166,7 +166,7 @@
 
 TEST(Conversation, AnyBytesEndInNothingWorseThanACut) {
     emulator::Random random(5);
-    const std::string good[] = {startup(), greeting(), kRead, kWrite, emulator::answer_of("v", true),
+    const std::string good[] = {startup(), greeting(), kRead, kWrite, emulator::build_row_response("v", true),
                                 refusal()};
     for (int i = 0; i < 3000; ++i) {
         Talk t;
--- a/tests/record/recording_test.cpp
+++ b/tests/record/recording_test.cpp
@@ -38,7 +38,7 @@
     return {recording.figures(), recording.fault()};
 }
 
-emulator::Made made(const std::string& path, std::vector<Damage> damage) {
+emulator::RecordingReport made(const std::string& path, std::vector<Damage> damage) {
     emulator::MakeSettings settings;
     settings.length_us = 12'000'000;
     settings.rate = 60;
@@ -100,7 +100,7 @@
     made(scratch.path, {});
     const auto whole = read(scratch.path).figures;
     for (const auto& c : kCases) {
-        ASSERT_TRUE(made(scratch.path, {c.damage}).not_done.empty());
+        ASSERT_TRUE(made(scratch.path, {c.damage}).unapplied_damage.empty());
         const auto f = read(scratch.path).figures;
         const auto what = "damage " + std::to_string(static_cast<int>(c.damage));
         EXPECT_EQ(f.cuts, c.cuts) << what;
--- a/tests/record/tds_dialect_test.cpp
+++ b/tests/record/tds_dialect_test.cpp
@@ -57,7 +57,7 @@
 };
 
 TEST(TdsDialect, IsTheSameHoweverItsBytesAreSplit) {
-    const auto payload = emulator::tds_answer_of(std::string(3000, 'v'));
+    const auto payload = emulator::build_tds_row_response(std::string(3000, 'v'));
     const std::vector<std::string> wanted = {"opened " + std::to_string(kPrelogin.size() + kLogin.size()),
                                              "greeted",
                                              "asked 0 1 roster-view  600000",
@@ -90,7 +90,8 @@
 }
 
 TEST(TdsDialect, ACutAtAnyByteIsNamed) {
-    const auto answer = message(wire::PacketType::result, emulator::tds_answer_of(std::string(900, 'v')));
+    const auto answer =
+        message(wire::PacketType::result, emulator::build_tds_row_response(std::string(900, 'v')));
     for (std::size_t n = 1; n < kRead.size(); ++n) {
         Session t;
         t.say(Side::client, kRead.substr(0, n));
@@ -118,7 +119,7 @@
 }
 
 TEST(TdsDialect, AnAttentionIsAcknowledgedOnceWhereverItFalls) {
-    const auto row = emulator::tds_answer_of("v");
+    const auto row = emulator::build_tds_row_response("v");
     {  // before any of the answer
         Session t;
         t.say(Side::client, kRead + kAttention);
@@ -181,7 +182,7 @@
                                 kWrite,
                                 kAttention,
                                 kWelcome,
-                                message(wire::PacketType::result, emulator::tds_answer_of("v"))};
+                                message(wire::PacketType::result, emulator::build_tds_row_response("v"))};
     for (int i = 0; i < 3000; ++i) {
         Session s;
         for (int part = 0; part < 6; ++part) {
