--- a/emulator/checker.cpp
+++ b/emulator/checker.cpp
@@ -7,21 +7,22 @@
 namespace emulator {
 namespace {
 
-constexpr std::size_t kMostSentences = 100;  // a program that breaks one rule breaks it often
+constexpr std::size_t kMaxSentences = 100;  // one fault usually breaks the same rule many times
 
-std::string of_proxy(int proxy) { return proxy < 0 ? "" : " by proxy " + std::to_string(proxy); }
+std::string by_proxy(int proxy) { return proxy < 0 ? "" : " by proxy " + std::to_string(proxy); }
 
 }  // namespace
 
-void Checker::breaks(const std::string& what) {
-    broken_.size() < kMostSentences ? broken_.push_back(what) : void(++untold_);
+void Checker::add_violation(const std::string& sentence) {
+    violations_.size() < kMaxSentences ? violations_.push_back(sentence) : void(++omitted_);
 }
 
 void Checker::saw(const Event& e) {
     switch (e.what) {
         case What::asked: {
             auto& client = clients_[e.id];
-            // A close that crosses a request is no fault; of a request that had been taken it is one.
+            // A proxy may close an idle connection while a request is on its way to it, but must not close a
+            // connection after it has forwarded the request.
             if (e.word == "again") {
                 client.dropped = client.dropped || client.attempts > 0;
                 return;
@@ -31,7 +32,7 @@
             client.until = std::max(client.until, e.until);
             if (e.key.empty()) return;
             client.session = e.key;
-            // Read again with the same id: what it had to see by then, at least.
+            // If the same id was asked before, the requirement at that time remains.
             if (kClasses[e.request_class].session && client.asked == 1) client.required = sessions_[e.key];
             return;
         }
@@ -49,7 +50,7 @@
             drains_.erase({e.proxy, e.member});
             return;
         case What::fell:
-            return breaks("the cold member " + std::to_string(e.member) + " was pushed over");
+            return add_violation("the cold member " + std::to_string(e.member) + " was pushed over");
         case What::process:
             return process(e);
         default:
@@ -57,59 +58,61 @@
     }
 }
 
-// A process that starts has been told nothing.
+// A process that starts has received no drain notifications yet.
 void Checker::process(const Event& e) {
     auto& outages = outages_[e.proxy];
     for (auto& o : outages)
-        if (o.to == 0 && e.word == o.until) o.to = e.at;
+        if (o.to == 0 && e.word == o.end_word) o.to = e.at;
     if (e.word == "killed") outages.push_back({e.at, 0, "started"});
     if (e.word == "stopped") outages.push_back({e.at, 0, "continued"});
     if (e.word == "cut off") outages.push_back({e.at, 0, "reached"});
     if (e.word == "started")
         drains_.erase(drains_.lower_bound({e.proxy, -1}), drains_.lower_bound({e.proxy + 1, -1}));
-    if (e.word == "crashed") breaks("proxy " + std::to_string(e.proxy) + " crashed");
+    if (e.word == "crashed") add_violation("proxy " + std::to_string(e.proxy) + " crashed");
 }
 
 void Checker::arrived(const Event& e) {
     const auto client = clients_.find(e.id);
     if (client != clients_.end() && ++client->second.attempts > rules_.most_attempts)
-        breaks("request " + e.id + " was sent " + std::to_string(client->second.attempts) + " times");
-    // Who sent it is known by the event, or else by whom its client had asked.
+        add_violation("request " + e.id + " was sent " + std::to_string(client->second.attempts) + " times");
+    // If the event does not name the proxy, it is the one that the client sent the request to.
     const int proxy = e.proxy < 0 && client != clients_.end() ? client->second.proxy : e.proxy;
     const auto drains = drains_.find({proxy, e.member});
     if (drains != drains_.end() && e.since > drains->second + rules_.drain_grace)
-        breaks("request " + e.id + " was sent" + of_proxy(proxy) + " to member " + std::to_string(e.member) +
-               " " + std::to_string((e.since - drains->second) / 1000) + " ms after its drain was told");
+        add_violation("request " + e.id + " was sent" + by_proxy(proxy) + " to member " +
+                      std::to_string(e.member) + " " + std::to_string((e.since - drains->second) / 1000) +
+                      " ms after its drain was told");
 }
 
 void Checker::ran(const Event& e) {
     const bool first = e.what == What::ran;
     first ? ++ran_ : ++repeats_;
     auto& values = values_[e.id];
-    // Reads of one request give one value however often they run.
+    // All attempts of a read return the same value.
     if (std::find(values.begin(), values.end(), e.value) == values.end()) values.push_back(e.value);
-    if (first && !e.key.empty() && ++keys_[e.key] == 2)
-        breaks("the write with key " + e.key + " ran twice, the second time as request " + e.id);
+    if (first && !e.key.empty() && ++executions_by_key_[e.key] == 2)
+        add_violation("the write with key " + e.key + " ran twice, the second time as request " + e.id);
     const auto bound = kClasses[e.request_class].bound_us;
-    // A bound is counted from the last byte of the send.
+    // Staleness is measured at the last byte of the attempt.
     if (bound > 0 && !e.deposed && e.position + bound + rules_.slack < e.until)
-        breaks("request " + e.id + " was answered" + of_proxy(e.proxy) + " from data " +
-               std::to_string((e.until - e.position) / 1000) + " ms old by member " +
-               std::to_string(e.member));
+        add_violation("request " + e.id + " was answered" + by_proxy(e.proxy) + " from data " +
+                      std::to_string((e.until - e.position) / 1000) + " ms old by member " +
+                      std::to_string(e.member));
     const auto found = clients_.find(e.id);
     if (found == clients_.end()) return;
     auto& client = found->second;
     if (kClasses[e.request_class].write) client.commit = std::max(client.commit, e.position);
     if (kClasses[e.request_class].session && !e.deposed && e.position < client.required)
-        breaks("request " + e.id + " of session " + client.session + " was answered" + of_proxy(e.proxy) +
-               " from data " + std::to_string((client.required - e.position) / 1000) +
-               " ms older than its last write by member " + std::to_string(e.member));
+        add_violation("request " + e.id + " of session " + client.session + " was answered" +
+                      by_proxy(e.proxy) + " from data " +
+                      std::to_string((client.required - e.position) / 1000) +
+                      " ms older than its last write by member " + std::to_string(e.member));
 }
 
 void Checker::answered(const Event& e) {
     if (e.word == "unsent") {
-        // It never left its client, or a close crossed it and there was nobody to send it to again: nobody
-        // has taken it, unless it had been sent on.
+        // The client never wrote the request, or its connection closed and no time was left to write it to a
+        // new one. No proxy accepted it, unless an attempt has arrived at an endpoint.
         const auto asked = clients_.find(e.id);
         if (asked == clients_.end()) return;
         asked->second.attempts > 0 ? void(asked->second.dropped = true) : void(--asked->second.asked);
@@ -119,21 +122,23 @@
     const bool lost = e.word == "none";
     if (rules_.late && e.at > client.until + rules_.late && client.until) client.late = true;
     if (lost) return;
-    if (++client.answers > std::max(1, client.asked)) breaks("request " + e.id + " was answered twice");
+    if (++client.answers > std::max(1, client.asked))
+        add_violation("request " + e.id + " was answered twice");
     if (e.word != "served") return;
-    const auto made = values_.find(e.id);
-    if (made == values_.end() ||
-        std::find(made->second.begin(), made->second.end(), e.value) == made->second.end())
-        breaks("request " + e.id + " was answered" + of_proxy(e.proxy) +
-               " with a value that no member made for it");
+    const auto results = values_.find(e.id);
+    if (results == values_.end() ||
+        std::find(results->second.begin(), results->second.end(), e.value) == results->second.end())
+        add_violation("request " + e.id + " was answered" + by_proxy(e.proxy) +
+                      " with a value that no member made for it");
     if (!client.session.empty() && kClasses[e.request_class].write) {
         auto& last = sessions_[client.session];
         last = std::max(last, client.commit);
     }
 }
 
-// Whether its proxy was killed, stood still or was cut off while the request was out.
-bool Checker::away(const Client& client) const {
+// Returns whether the proxy was killed, stopped or cut off between the first write of the request and the
+// time at which its response would be too late.
+bool Checker::is_excused(const Client& client) const {
     const auto found = outages_.find(client.proxy);
     if (found == outages_.end()) return false;
     return std::any_of(found->second.begin(), found->second.end(), [&](const Outage& o) {
@@ -143,26 +148,26 @@
 
 std::uint64_t Checker::excused() const {
     return static_cast<std::uint64_t>(std::count_if(clients_.begin(), clients_.end(), [this](auto& c) {
-        return (c.second.answers < c.second.asked || c.second.late) && away(c.second);
+        return (c.second.answers < c.second.asked || c.second.late) && is_excused(c.second);
     }));
 }
 
 std::vector<std::string> Checker::broken() const {
-    auto out = broken_;
-    std::uint64_t more = untold_;
+    auto out = violations_;
+    std::uint64_t omitted = omitted_;
     const auto add = [&](const std::string& sentence) {
-        out.size() < kMostSentences ? out.push_back(sentence) : void(++more);
+        out.size() < kMaxSentences ? out.push_back(sentence) : void(++omitted);
     };
     for (const auto& [id, client] : clients_) {
-        if (away(client)) continue;
+        if (is_excused(client)) continue;
         if (client.answers < client.asked)
-            add("request " + id + " was never answered" + of_proxy(client.proxy));
+            add("request " + id + " was never answered" + by_proxy(client.proxy));
         else if (client.dropped)
-            add("request " + id + " was taken and its connection closed" + of_proxy(client.proxy));
+            add("request " + id + " was taken and its connection closed" + by_proxy(client.proxy));
         else if (client.late)
-            add("request " + id + " was answered too late" + of_proxy(client.proxy));
+            add("request " + id + " was answered too late" + by_proxy(client.proxy));
     }
-    if (more) out.push_back(std::to_string(more) + " more");
+    if (omitted) out.push_back(std::to_string(omitted) + " more");
     return out;
 }
 
--- a/emulator/checker.h
+++ b/emulator/checker.h
@@ -1,5 +1,5 @@
-// The rules, judged over what the stand-ins saw. Pure: events go in, in the order of their times, and broken
-// rules come out. One checker judges any number of proxies.
+// Checks recorded events against the rules that every proxy must keep. Does no I/O; takes the events of any
+// number of proxies in the order of their times.
 #pragma once
 
 #include <map>
@@ -12,10 +12,11 @@
 namespace emulator {
 
 struct Rules {
-    // As the operators have them, every time limit 50 ms longer on sockets.
+    // The operators' limits; `slack` and the 50 ms in `drain_grace` allow for delays of real sockets.
     Time drain_grace = 300'000;
     Time slack = 50'000;
-    Time late = 500'000;  // an answer that comes so long after its client gave up is lost; 0: not judged
+    Time late = 500'000;  // a response that arrives this long after its client's deadline counts as too
+                          // late; 0: not checked
     int most_attempts = 10;
 };
 
@@ -25,45 +26,46 @@
 
     void saw(const Event& event) override;
 
-    // Sentences, one a broken rule; none where all were kept. Only after the run: a request without an answer
-    // breaks one, unless its proxy was killed or stood still meanwhile.
+    // Returns one sentence per violation, or an empty vector. Call it after the last event: a request without
+    // a response counts as a violation unless its proxy was killed, stopped or cut off meanwhile.
     std::vector<std::string> broken() const;
     std::uint64_t ran() const { return ran_; }
     std::uint64_t repeats() const { return repeats_; }
-    // Requests that got no answer since their proxy was killed, stood still or was cut off from
-    // its clients: no rule is broken by them.
+    // Returns the number of requests that got no response, or a late one, while their proxy was killed,
+    // stopped or cut off from its clients. They break no rule.
     std::uint64_t excused() const;
 
 private:
     struct Client {
         int proxy = -1, asked = 0, answers = 0, attempts = 0;
         Time first_at = 0, until = 0;
-        Time commit = 0;       // a write's
-        std::string session;   // whose read or write it is, empty: nobody's
-        Time required = 0;     // of a session's read: the commit that it has to see
-        bool late = false;     // an answer, or none, came too late
-        bool dropped = false;  // it had been sent on when its connection was closed with no answer
+        Time commit = 0;       // commit time of a write
+        std::string session;   // empty if the request belongs to no session
+        Time required = 0;     // the commit that a read of a session must see
+        bool late = false;     // the outcome was recorded too late
+        bool dropped = false;  // its connection was closed without a response after it had been forwarded
     };
     struct Outage {
-        Time from = 0, to = 0;   // 0: not over
-        const char* until = "";  // the word that ends it
+        Time from = 0, to = 0;      // `to` is 0 while the outage lasts
+        const char* end_word = "";  // the word of the process event that ends it
     };
-    void breaks(const std::string& what);
+    void add_violation(const std::string& sentence);
     void ran(const Event& e);
     void arrived(const Event& e);
     void answered(const Event& e);
     void process(const Event& e);
-    bool away(const Client& client) const;
+    bool is_excused(const Client& client) const;
 
     Rules rules_;
     std::unordered_map<std::string, Client> clients_;
-    std::unordered_map<std::string, std::vector<std::uint64_t>> values_;  // by id, as members made them
-    std::unordered_map<std::string, int> keys_;                           // how often each has run
-    std::unordered_map<std::string, Time> sessions_;                      // their last answered commit
-    std::map<std::pair<int, int>, Time> drains_;                          // by proxy and member
-    std::map<int, std::vector<Outage>> outages_;                          // by proxy
-    std::vector<std::string> broken_;
-    std::uint64_t ran_ = 0, repeats_ = 0, untold_ = 0;
+    std::unordered_map<std::string, std::vector<std::uint64_t>>
+        values_;                                              // digests of the results, by request id
+    std::unordered_map<std::string, int> executions_by_key_;  // of writes
+    std::unordered_map<std::string, Time> sessions_;  // last commit whose response the session received
+    std::map<std::pair<int, int>, Time> drains_;      // time of the notification, by proxy and endpoint
+    std::map<int, std::vector<Outage>> outages_;      // by proxy
+    std::vector<std::string> violations_;
+    std::uint64_t ran_ = 0, repeats_ = 0, omitted_ = 0;
 };
 
 }  // namespace emulator
--- a/emulator/event.cpp
+++ b/emulator/event.cpp
@@ -22,21 +22,21 @@
 
 std::string to_line(const Event& e) {
     nlohmann::json out = {{"at", e.at}, {"what", e.what}};
-    const auto number = [&](const char* name, std::int64_t value, std::int64_t usual) {
-        if (value != usual) out[name] = value;
+    const auto put_number = [&](const char* name, std::int64_t value, std::int64_t default_value) {
+        if (value != default_value) out[name] = value;
     };
-    const auto text = [&](const char* name, const std::string& value) {
+    const auto put_text = [&](const char* name, const std::string& value) {
         if (!value.empty()) out[name] = value;
     };
-    number("proxy", e.proxy, -1);
-    number("member", e.member, -1);
-    number("class", e.request_class, -1);
-    number("since", e.since, 0);
-    number("until", e.until, 0);
-    number("position", e.position, 0);
-    text("id", e.id);
-    text("key", e.key);
-    text("word", e.word);
+    put_number("proxy", e.proxy, -1);
+    put_number("member", e.member, -1);
+    put_number("class", e.request_class, -1);
+    put_number("since", e.since, 0);
+    put_number("until", e.until, 0);
+    put_number("position", e.position, 0);
+    put_text("id", e.id);
+    put_text("key", e.key);
+    put_text("word", e.word);
     if (e.value) out["value"] = e.value;
     if (e.last) out["last"] = true;
     if (e.deposed) out["deposed"] = true;
@@ -46,12 +46,12 @@
 Event from_line(const std::string& line) {
     const auto json = nlohmann::json::parse(line, nullptr, false);
     if (!json.is_object() || !json.contains("at") || !json.contains("what"))
-        throw std::invalid_argument("no event: " + line);
+        throw std::invalid_argument("not an event: " + line);
     try {
         Event e;
         e.what = json["what"].get<What>();
         if (e.what == What::fault && json["what"] != "fault")
-            throw std::invalid_argument("no event: " + line);
+            throw std::invalid_argument("not an event: " + line);
         e.at = json["at"].get<Time>();
         e.proxy = json.value("proxy", -1);
         e.member = json.value("member", -1);
--- a/emulator/event.h
+++ b/emulator/event.h
@@ -1,5 +1,6 @@
-// What the stand-ins and the rig see, one event each: the form in which records are written, read and judged.
-// All processes of a rig run on one machine, so that times of different processes can be compared.
+// The events that emulators and the fault harness record: the form in which a record is written, read and
+// checked. All processes of a fault harness run on one machine, so times of different processes are
+// comparable.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +12,30 @@
 using Time = std::int64_t;  // Unix microseconds
 using Micros = std::int64_t;
 
+// The kind of an event; a record writes it under the enumerator's own name.
 enum class What {
-    asked,  // a client has written request `id` to the proxy; `until`: when it gives up; `word`: again where
-            // its connection had been closed with no answer, and it is written once more on a new one
-    answered,  // and got its answer, `word`: served, refused, failed, none (it never came) or unsent;
-               // `since`: its first try's arrival, `last`: no try follows; `value`: the digest of what was
-               // served
-    arrived,   // an attempt's last byte has come to a member; `since`: its first byte
-    ran,       // a statement has run there: `since`, `until` its first and last byte, `position` of the data
-    repeated,  // or was dropped as a repeat
-    turned,    // or turned away; `word`: the code
-    linked,    // a connection to a member; `word`: "refused" where it holds too many
-    probed,    // SELECT 1 or SHOW load
-    called,    // a call to discovery has ended; `word`: whole, changes, none or the status; `since`: its
+    asked,     // a client wrote request `id` to the proxy; `until`: the client's deadline; `word`: "again" if
+               // its connection was closed without a response and the request is written to a new one
+    answered,  // the outcome of that request, `word`: served, refused, failed, none (no response came) or
+               // unsent; `since`: arrival of the first attempt; `last`: no retry follows; `value`: digest of
+               // the response if served
+    arrived,   // an endpoint received the last byte of an attempt; `since`: its first byte
+    ran,       // an endpoint executed a statement; `since`, `until`: first and last byte of the attempt;
+               // `position`: position of the data
+    repeated,  // an endpoint dropped a write as a duplicate; fields as for `ran`
+    turned,    // an endpoint rejected an attempt; `word`: the SQLSTATE code
+    linked,    // a connection to an endpoint was accepted; `word`: "refused" if the endpoint has too many
+    probed,    // an endpoint received SELECT 1 or SHOW load
+    called,    // a poll of discovery ended; `word`: whole, changes, silent or the HTTP status; `since`: its
                // arrival
-    drain,     // discovery has told the proxy that the member drains or is gone
-    back,      // or is in service
-    fell,      // a cold member was pushed over
-    process,   // of a proxy; `word`: started, ready, killed, terminating, ended, crashed, stopped, continued;
-               // or of the way to it: "cut off" and "reached" by its clients
-    fault,     // begins or ends; `word` says which
-    busy,  // a process of the rig itself: `value` is by how many us a turn came too late at most in a second
+    drain,     // discovery notified the proxy that the endpoint drains or has terminated
+    back,      // discovery notified the proxy that the endpoint is in service
+    fell,      // a cold endpoint crashed under more work than it can bear
+    process,   // state of a proxy; `word`: started, ready, killed, terminating, ended, crashed, stopped or
+               // continued; or of the path between it and its clients: "cut off" or "reached"
+    fault,     // a fault begins or ends; `word`: which one
+    busy,      // a process of the fault harness; `value`: the longest delay of an event-loop iteration within
+               // a second, in us
 };
 
 struct Event {
@@ -39,18 +43,21 @@
     Time at = 0;
     int proxy = -1, member = -1, request_class = -1;
     std::string id, key, word;
-    // asked: `key` is the session, where there is one. ran: `key` is the write's own, `position` of a write
-    // is its commit.
+    // asked: `key` is the session, empty if there is none. ran: `key` is the idempotency key of a write, and
+    // `position` of a write is its commit time.
     Time since = 0, until = 0, position = 0;
     std::uint64_t value = 0;
     bool last = false;
-    bool deposed = false;  // ran: the member was the primary within the last seconds, which excuses a read
+    bool deposed =
+        false;  // ran: the endpoint was the primary until a few seconds ago; its stale reads break no rule
 };
 
-// One line of a record, and back; throws std::invalid_argument on what is no event.
+// Returns the event as one line of a record, without the line break.
 std::string to_line(const Event& event);
+// Parses one line of a record. Throws std::invalid_argument if it is not an event.
 Event from_line(const std::string& line);
 
+// Receives the events of an emulator in the order of their times.
 class EventSink {
 public:
     virtual ~EventSink() = default;
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -173,7 +173,7 @@
     for (int b = 0; b < settings.banks; ++b) {
         auto model = settings.bank;
         model.members = settings.members;
-        banks_.push_back(std::make_unique<Bank>(model, begun_));
+        banks_.push_back(std::make_unique<ReplicaGroupModel>(model, begun_));
         for (int i = 0; i < settings.members; ++i) {
             auto& m = *members_.emplace_back(std::make_unique<Member>(settings.cold, settings.cores));
             m.bank = b;
@@ -337,7 +337,7 @@
     m.was_primary = bank.primary(now) == f.member;
     switch (f.trouble) {
         case Trouble::crash:
-            bank.down(f.member, now);
+            bank.mark_down(f.member, now);
             crash(m);
             m.listing.set(deadlines_, now + settings_.list_late, [this, &m] { changed(m, "terminated"); });
             return;
@@ -347,7 +347,7 @@
             changed(m, "terminated");
             return;
         case Trouble::silent:
-            bank.down(f.member, now);
+            bank.mark_down(f.member, now);
             m.silent = true;
             return;
         case Trouble::stall:
@@ -376,9 +376,9 @@
     // Who has not heard of it yet takes it for what it was.
     if (m.was_primary) m.deposed_at = now;
     if (f.trouble == Trouble::crash) {
-        bank.up(f.member, now);
+        bank.mark_up(f.member, now);
         m.up_since = now;
-        m.capacity.started(now);
+        m.capacity.start(now);
         start(m);
         m.listing.set(deadlines_, now + settings_.list_late, [this, &m] { changed(m, "in_service"); });
     } else if (f.trouble == Trouble::replace) {
@@ -389,11 +389,11 @@
         if (settings_.first_port)
             for (auto& port : m.port) port = static_cast<std::uint16_t>(settings_.first_port + number_of(m));
         m.up_since = now;
-        m.capacity.started(now);
+        m.capacity.start(now);
         start(m);
         changed(m, "in_service");
     } else if (f.trouble == Trouble::silent) {
-        bank.up(f.member, now);
+        bank.mark_up(f.member, now);
         m.silent = false;
         // What stood silent is reset when the machine is back.
         crash(m);
@@ -402,8 +402,8 @@
         crash(m);
         m.draining = false;
         m.up_since = now;
-        m.capacity.started(now);
-        bank.back(f.member);
+        m.capacity.start(now);
+        bank.end_drain(f.member);
         start(m);
         changed(m, "in_service");
     } else if (f.trouble == Trouble::spoil) {
@@ -531,9 +531,9 @@
     job->statement = statement;
     job->first_byte = first_byte;
     job->last_byte = now;
-    if (!m.capacity.bears(takes / 1e6, now)) {
+    if (!m.capacity.accept(takes / 1e6, now)) {
         witness_.saw(event(What::fell, m, peer.proxy()));
-        bank.down(m.index, now);
+        bank.mark_down(m.index, now);
         crash(m);
         return m.listing.set(deadlines_, now + settings_.list_late, [this, &m] { changed(m, "terminated"); });
     }
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "deadlines/deadlines.h"
-#include "emulator/bank.h"
 #include "emulator/capacity.h"
 #include "emulator/discovery.h"
 #include "emulator/edge.h"
 #include "emulator/event.h"
+#include "emulator/replica_group_model.h"
 #include "emulator/script.h"
 
 namespace emulator {
@@ -25,7 +25,7 @@
 struct FleetSettings {
     int banks = 2, members = 3;
     int part = 0, parts = 1;  // this fleet has the banks whose number leaves `part` when divided by `parts`
-    BankSettings bank;
+    ReplicaGroupModelSettings bank;
     int cores = 5;                                 // requests worked on at once by a member
     std::size_t queue = 128;                       // and waiting; more are turned away
     std::size_t connections = 1'000'000;           // more are closed at once
@@ -112,7 +112,7 @@
     std::function<void(Micros)> restart_;
     Time begun_;
     Random random_;
-    std::vector<std::unique_ptr<Bank>> banks_;
+    std::vector<std::unique_ptr<ReplicaGroupModel>> banks_;
     std::vector<std::unique_ptr<Member>> members_;
     std::uint64_t attempts_ = 0, probes_ = 0, last_job_ = 0;
     std::vector<std::unique_ptr<Deadline>> script_;
--- a/tests/emulator/emulator_test.cpp
+++ b/tests/emulator/emulator_test.cpp
@@ -4,10 +4,10 @@
 
 #include <stdexcept>
 
-#include "emulator/bank.h"
 #include "emulator/capacity.h"
 #include "emulator/checker.h"
 #include "emulator/edge.h"
+#include "emulator/replica_group_model.h"
 #include "emulator/script.h"
 #include "emulator/settings.h"
 #include "emulator/values.h"
@@ -18,8 +18,8 @@
 
 constexpr Time kNow = 1'000'000'000;
 
-TEST(Bank, ReplicasLagAndCatchUp) {
-    Bank bank({}, kNow);
+TEST(ReplicaGroupModel, ReplicasLagAndCatchUp) {
+    ReplicaGroupModel bank({}, kNow);
     EXPECT_EQ(bank.position(0, kNow), kNow);
     EXPECT_EQ(bank.position(1, kNow + 100'000), kNow + 100'000 - 8'000);
     bank.slow_apply(1, 10, kNow + 1'100'000, kNow + 100'000);
@@ -28,38 +28,38 @@
     EXPECT_EQ(bank.position(1, kNow + 3'000'000), kNow + 3'000'000 - 8'000);
 }
 
-TEST(Bank, APrimaryThatDiesIsFollowedByTheReplicaThatIsFarthest) {
-    Bank bank({}, kNow);
+TEST(ReplicaGroupModel, ElectsTheReplicaWithTheHighestPositionAfterThePrimaryIsLost) {
+    ReplicaGroupModel bank({}, kNow);
     bank.slow_apply(1, 10, kNow + 10'000'000, kNow);
-    bank.down(0, kNow + 1'000'000);
+    bank.mark_down(0, kNow + 1'000'000);
     EXPECT_EQ(bank.primary(kNow + 1'000'000), -1);
     EXPECT_EQ(bank.primary(kNow + 4'600'000), -1);
     EXPECT_EQ(bank.primary(kNow + 4'700'000), 2);
-    bank.up(0, kNow + 5'000'000);
+    bank.mark_up(0, kNow + 5'000'000);
     EXPECT_EQ(bank.primary(kNow + 5'000'000), 2);
     EXPECT_GE(bank.position(0, kNow + 9'000'000), kNow + 8'000'000);
 }
 
-TEST(Bank, PositionsNeverGoBack) {
+TEST(ReplicaGroupModel, PositionsNeverDecrease) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         Random random(seed);
-        Bank bank({}, kNow);
+        ReplicaGroupModel bank({}, kNow);
         Time last[3] = {0, 0, 0}, now = kNow;
         for (int i = 0; i < 300; ++i) {
             now += random.between(0, 100'000);
             const int m = static_cast<int>(random.between(0, 2));
             switch (random.between(0, 6)) {
                 case 0:
-                    bank.down(m, now);
+                    bank.mark_down(m, now);
                     break;
                 case 1:
-                    bank.up(m, now);
+                    bank.mark_up(m, now);
                     break;
                 case 2:
                     bank.drain(m, now);
                     break;
                 case 3:
-                    bank.back(m);
+                    bank.end_drain(m);
                     break;
                 case 4:
                     bank.slow_apply(m, 5, now + 500'000, now);
@@ -77,8 +77,8 @@
     }
 }
 
-TEST(Bank, ARepeatIsDroppedWithinItsWindowOnly) {
-    Bank bank({}, kNow);
+TEST(ReplicaGroupModel, DropsADuplicateWriteWithinTheWindowOnly) {
+    ReplicaGroupModel bank({}, kNow);
     EXPECT_TRUE(bank.write("k", "first", kNow).ran);
     const auto again = bank.write("k", "second", kNow + 4'900'000);
     EXPECT_FALSE(again.ran);
@@ -320,14 +320,14 @@
     cold.warm_after = 10'000'000;
     Capacity c(cold, 2);
     EXPECT_EQ(c.share(kNow), 1);
-    EXPECT_TRUE(c.bears(1000, kNow));  // warm: it has a queue, and does not fall
-    c.started(kNow);
+    EXPECT_TRUE(c.accept(1000, kNow));  // warm: it has a queue, and does not fall
+    c.start(kNow);
     EXPECT_DOUBLE_EQ(c.share(kNow + 5'000'000), 0.625);
     // 3 x 0.25 x 2 cores x 3 s = 4.5 s of work in 3 s.
-    EXPECT_TRUE(c.bears(4.4, kNow));
-    EXPECT_TRUE(c.bears(4.4, kNow + 3'000'000));
-    EXPECT_FALSE(c.bears(4.4, kNow + 3'100'000));
-    EXPECT_FALSE(c.cold(kNow + 10'000'000));
+    EXPECT_TRUE(c.accept(4.4, kNow));
+    EXPECT_TRUE(c.accept(4.4, kNow + 3'000'000));
+    EXPECT_FALSE(c.accept(4.4, kNow + 3'100'000));
+    EXPECT_FALSE(c.is_cold(kNow + 10'000'000));
 }
 
 TEST(Script, IsReadAndSaysWhatIsWrong) {
