--- a/emulator/checker.cpp
+++ b/emulator/checker.cpp
@@ -92,7 +92,7 @@
     if (std::find(values.begin(), values.end(), e.value) == values.end()) values.push_back(e.value);
     if (first && !e.key.empty() && ++executions_by_key_[e.key] == 2)
         add_violation("the write with key " + e.key + " ran twice, the second time as request " + e.id);
-    const auto bound = kClasses[e.request_class].bound_us;
+    const auto bound = kClasses[e.request_class].max_staleness_us;
     // Staleness is measured at the last byte of the attempt.
     if (bound > 0 && !e.deposed && e.position + bound + rules_.slack < e.until)
         add_violation("request " + e.id + " was answered" + by_proxy(e.proxy) + " from data " +
--- a/emulator/discovery.cpp
+++ b/emulator/discovery.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 namespace net = sloestack::net;
-constexpr std::size_t kMostUnread = 64 * 1024;
-constexpr Micros kLongestWait = 60'000'000;
+constexpr std::size_t kMaxUnreadBytes = 64 * 1024;
+constexpr Micros kMaxPollWait = 60'000'000;
 
-std::string host_of(const sockaddr_in& at) {
+std::string ip_address(const sockaddr_in& at) {
     char text[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, &at.sin_addr, static_cast<char*>(text), sizeof text);
     return static_cast<char*>(text);
 }
 
-nlohmann::json entry_of(const Listed& m, const std::string& host) {
+nlohmann::json build_entry(const Listed& m, const std::string& host) {
     return {{"id", m.name},
             {"host_port", host + ":" + std::to_string(m.port)},
             {"locality", m.zone},
@@ -39,80 +39,81 @@
 nlohmann::json Discovery::first_list(const std::vector<Listed>& members, const std::string& host) {
     nlohmann::json out = {
         {"revision", kFirstRevision}, {"complete", true}, {"members", nlohmann::json::array()}};
-    for (const auto& m : members) out["members"].push_back(entry_of(m, host));
+    for (const auto& m : members) out["members"].push_back(build_entry(m, host));
     return out;
 }
 
-class Discovery::Call final : public net::ConnectionEvents {
+class Discovery::Poll final : public net::ConnectionEvents {
 public:
-    Call(Discovery& of, int proxy, evutil_socket_t fd) : of_(of), proxy_(proxy) {
-        line_ = std::make_unique<Line>(Line::Host{of.loop_, of.deadlines_, of.random_}, of.edge(proxy), fd,
-                                       kMostUnread, *this);
+    Poll(Discovery& discovery, int proxy, evutil_socket_t fd) : discovery_(discovery), proxy_(proxy) {
+        line_ = std::make_unique<Line>(Line::Host{discovery.loop_, discovery.deadlines_, discovery.random_},
+                                       discovery.edge(proxy), fd, kMaxUnreadBytes, *this);
     }
     void received() override {
         try {
             request_->feed(line_->unread());
-            line_->consume(line_->held());
+            line_->consume(line_->unread_bytes());
             if (!request_->done()) return;
             const auto request = std::exchange(request_, std::make_unique<sloestack::http::RequestParser>());
-            came_ = of_.deadlines_.now();
+            arrived_at_ = discovery_.deadlines_.now();
             if (request->path() != "/registry/instances") return respond(404, "{}");
             const auto after = request->parameter("after"), wait = request->parameter("wait_ms");
             after_ = after ? std::stoll(*after) : -1;
-            const auto newest = of_.view().revision;
-            // Who holds a newer list than there is gets all of it: what changed since cannot be said.
+            const auto newest = discovery_.view().revision;
+            // A proxy with a newer revision gets the complete list: the changes since are unknown.
             if (after_ > newest) after_ = -1;
-            if (after_ < 0 || after_ < newest || !wait || of_.state_ == State::empty) return serve();
-            waits_ = true;
-            const auto patience = std::min<Micros>(std::stoll(*wait) * 1000, kLongestWait);
-            limit_.set(of_.deadlines_, came_ + patience, [this] { serve(); });
+            if (after_ < 0 || after_ < newest || !wait || discovery_.state_ == State::empty) return serve();
+            is_waiting_ = true;
+            const auto max_wait = std::min<Micros>(std::stoll(*wait) * 1000, kMaxPollWait);
+            timer_.set(discovery_.deadlines_, arrived_at_ + max_wait, [this] { serve(); });
         } catch (const std::exception&) {
             respond(400, "{}");
         }
     }
     void ended(net::ConnectionEnd) override { close(); }
     void close() {
-        limit_.clear();
+        timer_.clear();
         line_.reset();
-        gone = true;
+        is_closed = true;
     }
-    bool waits() const { return waits_; }
+    bool is_waiting() const { return is_waiting_; }
     std::int64_t after() const { return after_; }
     void fall_silent() {
-        limit_.clear();
-        waits_ = false;
+        timer_.clear();
+        is_waiting_ = false;
         record("silent");
     }
     int proxy() const { return proxy_; }
     Line* line() { return line_.get(); }
-    // Takes its turn: one call after another, each with what it costs.
+    // Queues the poll behind those being handled and responds once its own cost has passed.
     void serve() {
-        waits_ = false;
-        const auto now = of_.deadlines_.now();
+        is_waiting_ = false;
+        const auto now = discovery_.deadlines_.now();
         const bool complete = after_ < 0;
         const auto cost =
-            static_cast<double>(of_.settings_.call +
-                                of_.settings_.entry * static_cast<Micros>(of_.entries(complete, after_))) *
-            of_.slow_;
-        const auto begins = std::max(now, of_.busy_until_);
-        if (of_.settings_.longest_queue > 0 && begins - now > of_.settings_.longest_queue)
+            static_cast<double>(discovery_.settings_.call +
+                                discovery_.settings_.entry *
+                                    static_cast<Micros>(discovery_.count_entries(complete, after_))) *
+            discovery_.slow_factor_;
+        const auto begins = std::max(now, discovery_.busy_until_);
+        if (discovery_.settings_.longest_queue > 0 && begins - now > discovery_.settings_.longest_queue)
             return respond(503, "{}");
-        of_.busy_until_ = begins + static_cast<Micros>(cost);
-        if (of_.busy_until_ <= now) return tell();
-        limit_.set(of_.deadlines_, of_.busy_until_, [this] { tell(); });
+        discovery_.busy_until_ = begins + static_cast<Micros>(cost);
+        if (discovery_.busy_until_ <= now) return respond_with_list();
+        timer_.set(discovery_.deadlines_, discovery_.busy_until_, [this] { respond_with_list(); });
     }
-    bool gone = false;
+    bool is_closed = false;
 
 private:
-    void tell() {
-        const bool complete = after_ < 0 || of_.state_ == State::empty;
-        of_.told(proxy_, complete, after_);
-        respond(200, of_.list(proxy_, complete, after_), complete ? "whole" : "changes");
+    void respond_with_list() {
+        const bool complete = after_ < 0 || discovery_.state_ == State::empty;
+        discovery_.record_notifications(proxy_, complete, after_);
+        respond(200, discovery_.list(proxy_, complete, after_), complete ? "whole" : "changes");
     }
     void respond(int status, const std::string& body, std::string word = {}) {
-        limit_.clear();
-        waits_ = false;
-        if (status == 200) of_.answered_[proxy_] = of_.deadlines_.now();
+        timer_.clear();
+        is_waiting_ = false;
+        if (status == 200) discovery_.last_response_at_[proxy_] = discovery_.deadlines_.now();
         record(word.empty() ? std::to_string(status) : std::move(word));
         if (line_)
             line_->write("HTTP/1.1 " + std::to_string(status) +
@@ -122,44 +123,44 @@
     void record(std::string word) {
         Event e;
         e.what = What::called;
-        e.at = of_.deadlines_.now();
+        e.at = discovery_.deadlines_.now();
         e.proxy = proxy_;
-        e.since = came_;
+        e.since = arrived_at_;
         e.word = std::move(word);
-        of_.witness_.saw(e);
+        discovery_.event_sink_.saw(e);
     }
-    Discovery& of_;
+    Discovery& discovery_;
     int proxy_;
-    std::int64_t after_ = -1;  // -1: all of it
-    Time came_ = 0;
-    bool waits_ = false;
+    std::int64_t after_ = -1;  // -1: the complete list is requested
+    Time arrived_at_ = 0;
+    bool is_waiting_ = false;
     std::unique_ptr<sloestack::http::RequestParser> request_ =
         std::make_unique<sloestack::http::RequestParser>();
-    Deadline limit_;
+    Deadline timer_;
     std::unique_ptr<Line> line_;
 };
 
 Discovery::Discovery(net::Loop& loop, Deadlines& deadlines, const DiscoverySettings& settings,
-                     std::vector<Listed> members, EventSink& witness)
-    : loop_(loop), deadlines_(deadlines), settings_(settings), witness_(witness) {
+                     std::vector<Listed> members, EventSink& event_sink)
+    : loop_(loop), deadlines_(deadlines), settings_(settings), event_sink_(event_sink) {
     for (auto& m : members) {
         const auto name = m.name;
         now_.members[name].listed = std::move(m);
     }
     first_ = now_;
     for (std::size_t i = 0; i < settings.at.size(); ++i) edges_.push_back(std::make_unique<Edge>());
-    open();
+    listen();
 }
 
 Discovery::~Discovery() = default;
 
-void Discovery::open() {
+void Discovery::listen() {
     for (std::size_t i = 0; i < settings_.at.size(); ++i) {
         auto& at = settings_.at[i];
         ports_.push_back(std::make_unique<Port>(loop_, at, [this, i](evutil_socket_t fd) {
-            calls_.erase(std::remove_if(calls_.begin(), calls_.end(), [](auto& c) { return c->gone; }),
-                         calls_.end());
-            calls_.push_back(std::make_unique<Call>(*this, static_cast<int>(i), fd));
+            polls_.erase(std::remove_if(polls_.begin(), polls_.end(), [](auto& c) { return c->is_closed; }),
+                         polls_.end());
+            polls_.push_back(std::make_unique<Poll>(*this, static_cast<int>(i), fd));
         }));
         at.sin_port = htons(ports_.back()->port());
         ports_.back()->cut(edges_[i]->cut());
@@ -168,10 +169,10 @@
 
 std::string Discovery::address(int proxy) const {
     const auto& at = settings_.at.at(static_cast<std::size_t>(proxy));
-    return host_of(at) + ":" + std::to_string(ntohs(at.sin_port));
+    return ip_address(at) + ":" + std::to_string(ntohs(at.sin_port));
 }
 
-std::size_t Discovery::entries(bool complete, std::int64_t after) const {
+std::size_t Discovery::count_entries(bool complete, std::int64_t after) const {
     if (complete) return view().members.size();
     return static_cast<std::size_t>(std::count_if(view().members.begin(), view().members.end(),
                                                   [&](auto& m) { return m.second.revision > after; }));
@@ -184,14 +185,14 @@
     for (const auto& [name, entry] : view().members) {
         const auto& m = entry.listed;
         if (complete ? m.phase == "terminated" : entry.revision <= after) continue;
-        out["members"].push_back(entry_of(m, settings_.hosts.at(static_cast<std::size_t>(proxy))));
+        out["members"].push_back(build_entry(m, settings_.hosts.at(static_cast<std::size_t>(proxy))));
     }
     return out.dump();
 }
 
-// What the answer tells binds the proxy from now on.
-void Discovery::told(int proxy, bool complete, std::int64_t after) {
-    if (state_ == State::empty || state_ == State::behind) return;  // no true word on any member
+// Records what the response tells the proxy; drain rules bind it from now on.
+void Discovery::record_notifications(int proxy, bool complete, std::int64_t after) {
+    if (state_ == State::empty || state_ == State::behind) return;  // the list says nothing true
     Event e;
     e.at = deadlines_.now();
     e.proxy = proxy;
@@ -199,7 +200,7 @@
         if (!complete && entry.revision <= after) continue;
         e.what = entry.listed.phase == "in_service" ? What::back : What::drain;
         e.member = entry.listed.member;
-        witness_.saw(e);
+        event_sink_.saw(e);
     }
 }
 
@@ -208,48 +209,49 @@
     entry.listed = member;
     entry.revision = ++now_.revision;
     if (state_ == State::behind) return;
-    for (auto& call : calls_)
-        if (!call->gone && call->waits()) call->serve();
+    for (auto& poll : polls_)
+        if (!poll->is_closed && poll->is_waiting()) poll->serve();
 }
 
 void Discovery::set(State state) {
     const bool was_gone = state_ == State::gone;
     state_ = state;
     if (state == State::gone) {
-        for (auto& call : calls_) call->close();
-        calls_.clear();
+        for (auto& poll : polls_) poll->close();
+        polls_.clear();
         ports_.clear();
         busy_until_ = 0;
     } else if (was_gone) {
-        open();
+        listen();
     } else {
-        for (auto& call : calls_)
-            if (!call->gone && call->waits()) call->serve();
+        for (auto& poll : polls_)
+            if (!poll->is_closed && poll->is_waiting()) poll->serve();
     }
 }
 
 void Discovery::fall_silent() {
     const auto now = deadlines_.now();
-    for (auto& call : calls_) {
-        if (call->gone || !call->waits()) continue;
-        call->fall_silent();
-        missed_.push_back(std::make_unique<Deadline>());
-        missed_.back()->set(deadlines_, now + kToldAfterSilence,
-                            [this, now, proxy = call->proxy(), after = call->after()] {
-                                if (answered_[proxy] < now) told(proxy, false, after);
-                            });
+    for (auto& poll : polls_) {
+        if (poll->is_closed || !poll->is_waiting()) continue;
+        poll->fall_silent();
+        missed_notifications_.push_back(std::make_unique<Deadline>());
+        missed_notifications_.back()->set(deadlines_, now + kMissedNotificationDelay,
+                                          [this, now, proxy = poll->proxy(), after = poll->after()] {
+                                              if (last_response_at_[proxy] < now)
+                                                  record_notifications(proxy, false, after);
+                                          });
     }
 }
 
 void Discovery::reset(int proxy) {
-    for (auto& call : calls_)
-        if (call->proxy() == proxy) call->close();
+    for (auto& poll : polls_)
+        if (poll->proxy() == proxy) poll->close();
 }
 
 void Discovery::edge_changed(int proxy) {
     if (!ports_.empty()) ports_.at(static_cast<std::size_t>(proxy))->cut(edge(proxy).cut());
-    for (auto& call : calls_)
-        if (call->proxy() == proxy && call->line()) call->line()->changed();
+    for (auto& poll : polls_)
+        if (poll->proxy() == proxy && poll->line()) poll->line()->on_edge_changed();
 }
 
 }  // namespace emulator
--- a/emulator/discovery.h
+++ b/emulator/discovery.h
@@ -1,6 +1,6 @@
-// Stand-in for discovery: the list of members, watches on it, and a service of fixed capacity that handles
-// calls one after another and turns them away when it is overrun. Each proxy has an address of its own here,
-// by which it is told apart.
+// Emulator of discovery: serves the endpoint list and watches on it, handles polls one after another at a
+// fixed capacity, and rejects them when it is overloaded. Each proxy polls an address of its own, which
+// identifies it.
 #pragma once
 
 #include <functional>
@@ -17,8 +17,9 @@
 using sloestack::Deadline;
 using sloestack::Deadlines;
 
+// An endpoint as discovery lists it.
 struct Listed {
-    int member = 0;  // its number in events
+    int member = 0;  // number of the endpoint in events
     int group = 0;
     std::string name, zone, phase = "in_service";
     std::uint16_t port = 0;
@@ -27,69 +28,75 @@
 };
 
 struct DiscoverySettings {
-    std::vector<sockaddr_in> at;     // one address a proxy; port 0: any that is free
-    Micros call = 0, entry = 0;      // what a call costs, and each entry that it tells
-    Micros longest_queue = 0;        // a call that would wait longer gets 503 at once; 0: none
-    std::vector<std::string> hosts;  // where each proxy reaches members: an address without a port
+    std::vector<sockaddr_in> at;     // one address per proxy; port 0: any free port
+    Micros call = 0, entry = 0;      // time to handle a poll, and for each entry in its response
+    Micros longest_queue = 0;        // a poll that would wait longer gets status 503 at once; 0: no limit
+    std::vector<std::string> hosts;  // by proxy: the address of the endpoints, without a port
 };
 
 class Discovery {
 public:
     enum class State { up, gone, empty, behind };
 
-    // Throws std::runtime_error where an address is not to be had.
+    // Throws std::runtime_error if it cannot listen on an address. All references must outlive this object.
     Discovery(sloestack::net::Loop& loop, Deadlines& deadlines, const DiscoverySettings& settings,
-              std::vector<Listed> members, EventSink& witness);
+              std::vector<Listed> members, EventSink& event_sink);
     ~Discovery();
 
-    void update(const Listed& member);  // a change, by its name; who watches is told
-    void set(State state);  // gone: calls are reset and new ones refused; behind: it serves the list of its
-                            // start, under that list's revision; empty: lists without a member
-    void slow(double times) { slow_ = times; }
-    // The watches that are open now are never answered, each recorded as a call that ended "silent". What
-    // they miss counts as told so long after, however long they were to wait.
+    // Adds or changes the entry of that name, and responds to the open long polls.
+    void update(const Listed& member);
+    // gone: open polls are reset and new ones refused; behind: serves the initial list under its revision;
+    // empty: serves lists without endpoints.
+    void set(State state);
+    // Multiplies the time to handle a poll by `factor`.
+    void slow(double factor) { slow_factor_ = factor; }
+    // Never responds to the long polls that are open now; each is recorded as a poll that ended "silent". The
+    // proxies count as notified of the changes that they miss after kMissedNotificationDelay, however long
+    // the polls were to last.
     void fall_silent();
-    static constexpr Micros kToldAfterSilence = 6'000'000;
+    static constexpr Micros kMissedNotificationDelay = 6'000'000;
     Edge& edge(int proxy) { return *edges_.at(static_cast<std::size_t>(proxy)); }
     void edge_changed(int proxy);
-    void reset(int proxy);  // its connections
+    // Closes the connections of the proxy.
+    void reset(int proxy);
 
-    // The whole list as it begins, for a proxy that reaches members at `host`.
+    // Returns the complete initial list for a proxy that reaches the endpoints at `host`.
     static nlohmann::json first_list(const std::vector<Listed>& members, const std::string& host);
 
     std::string address(int proxy = 0) const;
-    std::string list(int proxy, bool complete, std::int64_t after) const;  // as it is told
+    // Returns the body of a response: the complete list, or the changes since revision `after`.
+    std::string list(int proxy, bool complete, std::int64_t after) const;
     std::int64_t revision() const { return view().revision; }
 
 private:
-    class Call;
+    class Poll;
     struct Entry {
         Listed listed;
-        std::int64_t revision = 1;  // of its last change; the first is that of first_list
+        std::int64_t revision = 1;  // of its last change; 1 as in first_list()
     };
     struct View {
         std::int64_t revision = 1;
         std::map<std::string, Entry> members;
     };
     const View& view() const { return state_ == State::behind ? first_ : now_; }
-    void open();
-    void told(int proxy, bool complete, std::int64_t after);
-    std::size_t entries(bool complete, std::int64_t after) const;
+    void listen();
+    void record_notifications(int proxy, bool complete, std::int64_t after);
+    std::size_t count_entries(bool complete, std::int64_t after) const;
 
     sloestack::net::Loop& loop_;
     Deadlines& deadlines_;
     DiscoverySettings settings_;
-    EventSink& witness_;
+    EventSink& event_sink_;
     View now_, first_;
     State state_ = State::up;
-    double slow_ = 1;
+    double slow_factor_ = 1;
     Time busy_until_ = 0;
     Random random_{1};
     std::vector<std::unique_ptr<Edge>> edges_;
     std::vector<std::unique_ptr<Port>> ports_;
-    std::vector<std::unique_ptr<Call>> calls_;
-    std::map<int, Time> answered_;  // by proxy: its last call that was
-    std::vector<std::unique_ptr<Deadline>> missed_;
+    std::vector<std::unique_ptr<Poll>> polls_;
+    std::map<int, Time> last_response_at_;  // by proxy
+    std::vector<std::unique_ptr<Deadline>> missed_notifications_;
 };
 
 }  // namespace emulator
--- a/emulator/edge.cpp
+++ b/emulator/edge.cpp
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-// ---- the pipe ----
 void Pipe::put(std::string_view bytes, Time now, const Condition& c, Random& random) {
     Time at = now;
     if (c.bytes_per_s > 0) {
-        free_ =
-            std::max(free_, now) + static_cast<Time>(static_cast<double>(bytes.size()) * 1e6 / c.bytes_per_s);
-        at = free_;
+        free_at_ = std::max(free_at_, now) +
+                   static_cast<Time>(static_cast<double>(bytes.size()) * 1e6 / c.bytes_per_s);
+        at = free_at_;
     }
     at += c.delay;
-    while (c.loss > 0 && at < now + 60 * kSentAgain && random.unit() < c.loss) at += kSentAgain;
-    last_ = std::max(last_, at);  // nothing overtakes
-    pieces_.push_back({last_, std::string(bytes)});
+    while (c.loss > 0 && at < now + 60 * kRetransmissionTimeout && random.unit() < c.loss)
+        at += kRetransmissionTimeout;
+    newest_at_ = std::max(newest_at_, at);  // bytes arrive in order
+    pieces_.push_back({newest_at_, std::string(bytes)});
 }
 
 std::optional<Time> Pipe::next(const Condition& c) const {
@@ -45,26 +45,25 @@
     return out;
 }
 
-// ---- the line ----
-Line::Line(const Host& host, const Edge& edge, evutil_socket_t accepted, std::size_t most_unread,
+Line::Line(const Host& host, const Edge& edge, evutil_socket_t accepted, std::size_t max_unread_bytes,
            net::ConnectionEvents& events)
     : host_(host), edge_(edge), events_(events) {
-    connection_ = net::Connection::from_socket(host.loop, accepted, most_unread, *this);
+    connection_ = net::Connection::from_socket(host.loop, accepted, max_unread_bytes, *this);
 }
 
-Line::Line(const Host& host, const Edge& edge, const sockaddr_in& to, std::size_t most_unread,
+Line::Line(const Host& host, const Edge& edge, const sockaddr_in& to, std::size_t max_unread_bytes,
            net::ConnectionEvents& events)
     : host_(host), edge_(edge), events_(events) {
     if (edge.cut()) return;
-    connection_ = net::Connection::open(host.loop, to, most_unread, *this);
+    connection_ = net::Connection::open(host.loop, to, max_unread_bytes, *this);
     if (!connection_)
         next_.set(host.deadlines, host.deadlines.now(), [this] { ended(net::ConnectionEnd::error); });
 }
 
-template <class Tell>
-bool Line::alive_after(Tell tell) {
+template <class Callback>
+bool Line::alive_after(Callback callback) {
     const auto alive = std::weak_ptr<bool>(alive_);
-    tell();
+    callback();
     return !alive.expired();
 }
 
@@ -74,57 +73,56 @@
     const auto bytes = connection_->peek();
     const auto size = bytes.size();
     if (edge_.in.clear() && in_.empty()) {
-        arrived_.append(bytes);
+        unread_.append(bytes);
         connection_->consume(size);
         events_.received();
         return;
     }
     in_.put(bytes, host_.deadlines.now(), edge_.in, host_.random);
     connection_->consume(size);
-    plan();
+    schedule_delivery();
 }
 
 void Line::write(std::string_view bytes) {
     if (!connection_) return;
     if (edge_.out.clear() && out_.empty()) return connection_->write(bytes);
     out_.put(bytes, host_.deadlines.now(), edge_.out, host_.random);
-    plan();
+    schedule_delivery();
 }
 
-// An end that comes behind bytes still under way, or over a cut, is not seen before them.
+// The end is reported after the bytes still in flight have arrived, and not while the direction is cut.
 void Line::ended(net::ConnectionEnd how) {
-    ending_ = how;
+    pending_end_ = how;
     connection_.reset();
-    changed();
+    on_edge_changed();
 }
 
-void Line::changed() {
+void Line::on_edge_changed() {
     const auto alive = std::weak_ptr<bool>(alive_);
-    flow();
-    if (!alive.expired()) plan();
+    deliver_due();
+    if (!alive.expired()) schedule_delivery();
 }
 
-void Line::flow() {
+void Line::deliver_due() {
     const auto now = host_.deadlines.now();
     const auto out = out_.take(now, edge_.out);
     if (connection_ && !out.empty()) connection_->write(out);
     const auto in = in_.take(now, edge_.in);
-    arrived_ += in;
+    unread_ += in;
     if (!in.empty() && !alive_after([this] { events_.received(); })) return;
-    if (ending_ && in_.empty() && !edge_.in.cut && !std::exchange(ended_told_, true)) {
-        const auto how = *ending_;
+    if (pending_end_ && in_.empty() && !edge_.in.cut && !std::exchange(end_reported_, true)) {
+        const auto how = *pending_end_;
         events_.ended(how);
     }
 }
 
-void Line::plan() {
+void Line::schedule_delivery() {
     const auto in = in_.next(edge_.in), out = out_.next(edge_.out);
     if (!in && !out) return next_.clear();
     const auto at = in && out ? std::min(*in, *out) : in ? *in : *out;
-    next_.set(host_.deadlines, at, [this] { changed(); });
+    next_.set(host_.deadlines, at, [this] { on_edge_changed(); });
 }
 
-// ---- the port ----
 Port::Port(net::Loop& loop, const sockaddr_in& at, std::function<void(evutil_socket_t)> accepted) {
     fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
@@ -132,29 +130,29 @@
     socklen_t size = sizeof at_;
     if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
         listen(fd_, kBacklog) != 0 || getsockname(fd_, reinterpret_cast<sockaddr*>(&at_), &size) != 0) {
-        const std::string why = std::strerror(errno);
+        const std::string reason = std::strerror(errno);
         if (fd_ >= 0) close(fd_);
-        throw std::runtime_error("cannot listen: " + why);
+        throw std::runtime_error("emulator: cannot listen: " + reason);
     }
     listener_ = std::make_unique<net::Listener>(loop, fd_, std::move(accepted), [] {});
 }
 
 Port::~Port() {
-    if (filler_ >= 0) close(filler_);
+    if (blocker_ >= 0) close(blocker_);
 }
 
-// With no place left in its backlog the kernel drops whatever asks for a connection, as if nobody were there.
+// With a full backlog the kernel drops the SYN of every further connection, as if the host were unreachable.
 void Port::cut(bool on) {
-    if (on == (filler_ >= 0)) return;
+    if (on == (blocker_ >= 0)) return;
     if (on) {
         listener_->pause();
         listen(fd_, 0);
-        filler_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-        if (connect(filler_, reinterpret_cast<const sockaddr*>(&at_), sizeof at_) != 0 &&
+        blocker_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+        if (connect(blocker_, reinterpret_cast<const sockaddr*>(&at_), sizeof at_) != 0 &&
             errno != EINPROGRESS)
-            throw std::runtime_error(std::string("cannot cut a port off: ") + std::strerror(errno));
+            throw std::runtime_error(std::string("emulator: cannot block a port: ") + std::strerror(errno));
     } else {
-        close(std::exchange(filler_, -1));
+        close(std::exchange(blocker_, -1));
         listen(fd_, kBacklog);
         listener_->resume();
     }
--- a/emulator/edge.h
+++ b/emulator/edge.h
@@ -1,6 +1,6 @@
-// What lies between two processes: one direction's condition, the bytes that are under way in it, and a
-// connection whose bytes pass through both. Edges are told apart by address, so that what is cut between one
-// pair leaves all others alone, and nothing of it needs privileges or the kernel's help.
+// Emulates the network between two processes: the condition of each direction, the bytes in flight, and a
+// connection that passes its bytes through both directions. Each pair of processes has its own address, so a
+// fault between one pair does not affect others and needs no privileges or support of the kernel.
 #pragma once
 
 #include <deque>
@@ -16,29 +16,31 @@
 
 namespace emulator {
 
+// The condition of one direction.
 struct Condition {
-    bool cut = false;        // nothing passes; what is under way passes once it is mended
-    Micros delay = 0;        // added to each byte's way
+    bool cut = false;        // no bytes pass; those in flight pass after the cut ends
+    Micros delay = 0;        // added latency
     double bytes_per_s = 0;  // 0: no limit
-    double loss = 0;         // share of the pieces written (0 to 1) that must be sent again
+    double loss = 0;         // share of the writes (0 to 1) that are retransmitted
     bool clear() const { return !cut && delay == 0 && bytes_per_s <= 0 && loss <= 0; }
 };
 
-// Both directions between a process of the program and a stand-in.
+// Both directions between a process under test and an emulator.
 struct Edge {
-    Condition in, out;  // towards the stand-in, and away from it
+    Condition in, out;  // towards the emulator, and away from it
     bool cut() const { return in.cut || out.cut; }
 };
 
-// The bytes under way in one direction, in order. Pure.
+// The bytes in flight in one direction, in order. Does no I/O.
 class Pipe {
 public:
-    static constexpr Micros kSentAgain = 200'000;  // TCP's least retransmission time-out (RFC 6298 has 1 s;
-                                                   // kernels use 200 ms)
+    static constexpr Micros kRetransmissionTimeout = 200'000;  // TCP's least retransmission time-out (RFC
+                                                               // 6298 has 1 s; kernels use 200 ms)
     void put(std::string_view bytes, Time now, const Condition& condition, Random& random);
-    // When the next bytes come through; nothing where none are under way or the way is cut.
+    // Returns when the next bytes arrive; std::nullopt if none are in flight or the direction is cut.
     std::optional<Time> next(const Condition& condition) const;
-    std::string take(Time now, const Condition& condition);  // all that have come through by then
+    // Removes and returns the bytes that have arrived by `now`.
+    std::string take(Time now, const Condition& condition);
     bool empty() const { return pieces_.empty(); }
 
 private:
@@ -47,10 +49,12 @@
         std::string bytes;
     };
     std::deque<Piece> pieces_;
-    Time last_ = 0, free_ = 0;  // the newest piece's time; when the line can begin with the next
+    Time newest_at_ = 0, free_at_ = 0;  // arrival of the newest piece; when the bandwidth limit admits
+                                        // the next
 };
 
-// A stand-in's end of a connection. Used like net::Connection; its owner may destroy it at any time.
+// The emulator's end of a connection. Has the interface of net::Connection; its owner may destroy it at any
+// time, also from a callback. `edge` and `events` must outlive it.
 class Line final : public sloestack::net::ConnectionEvents {
 public:
     struct Host {
@@ -58,45 +62,45 @@
         sloestack::Deadlines& deadlines;
         Random& random;
     };
-    Line(const Host& host, const Edge& edge, evutil_socket_t accepted, std::size_t most_unread,
+    Line(const Host& host, const Edge& edge, evutil_socket_t accepted, std::size_t max_unread_bytes,
          sloestack::net::ConnectionEvents& events);
-    // Opened from here. While the edge is cut it never comes up.
-    Line(const Host& host, const Edge& edge, const sockaddr_in& to, std::size_t most_unread,
+    // Connects to `to`. If the edge is cut, the connection is never established.
+    Line(const Host& host, const Edge& edge, const sockaddr_in& to, std::size_t max_unread_bytes,
          sloestack::net::ConnectionEvents& events);
 
-    std::string_view unread() const { return arrived_; }
-    std::size_t held() const { return arrived_.size(); }
-    void consume(std::size_t bytes) { arrived_.erase(0, bytes); }
+    std::string_view unread() const { return unread_; }
+    std::size_t unread_bytes() const { return unread_.size(); }
+    void consume(std::size_t bytes) { unread_.erase(0, bytes); }
     void write(std::string_view bytes);
-    void changed();  // the edge's conditions are others now
+    void on_edge_changed();  // call it after a change of the edge's conditions
 
     void connected() override;
     void received() override;
     void ended(sloestack::net::ConnectionEnd how) override;
 
 private:
-    void flow();  // lets through what is due
-    void plan();
-    // Calls `tell`; false where that has destroyed this.
-    template <class Tell>
-    bool alive_after(Tell tell);
+    void deliver_due();  // passes on the bytes that have arrived in both directions
+    void schedule_delivery();
+    // Calls `callback`. Returns false if it destroyed this object.
+    template <class Callback>
+    bool alive_after(Callback callback);
 
     Host host_;
     const Edge& edge_;
     sloestack::net::ConnectionEvents& events_;
     std::unique_ptr<sloestack::net::Connection> connection_;
     Pipe in_, out_;
-    std::string arrived_;
-    std::optional<sloestack::net::ConnectionEnd> ending_;
-    bool ended_told_ = false;
+    std::string unread_;
+    std::optional<sloestack::net::ConnectionEnd> pending_end_;
+    bool end_reported_ = false;
     sloestack::Deadline next_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// A listening socket that can stand as if its machine had gone: connections to it never come up.
+// A listening socket that can emulate an unreachable machine: connections to it are then never established.
 class Port {
 public:
-    // Throws std::runtime_error where the address cannot be listened on. Port 0: any that is free.
+    // Throws std::runtime_error if it cannot listen on the address. Port 0: any free port.
     Port(sloestack::net::Loop& loop, const sockaddr_in& at, std::function<void(evutil_socket_t)> accepted);
     ~Port();
     Port(const Port&) = delete;
@@ -105,7 +109,7 @@
     std::uint16_t port() const { return listener_->port(); }
 
 private:
-    int fd_ = -1, filler_ = -1;  // the filler takes the one place that the kernel leaves in a backlog of none
+    int fd_ = -1, blocker_ = -1;  // `blocker_` fills the one place that a backlog of 0 leaves
     sockaddr_in at_{};
     std::unique_ptr<sloestack::net::Listener> listener_;
 };
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -19,7 +19,7 @@
 namespace pgwire = sloestack::pgwire;
 using sloestack::conversation::digest_of;
 
-constexpr std::size_t kMostUnread = pgwire::kMaxStatementBytes + 1024;
+constexpr std::size_t kMaxUnreadBytes = pgwire::kMaxStatementBytes + 1024;
 constexpr Micros kLookForRoles = 50'000;
 constexpr Micros kExcused = 6'000'000;  // a deposed primary: until what discovery has to tell counts as told
 constexpr Micros kLeastCopied = 2'100'000,
@@ -62,7 +62,7 @@
     Deadline ready;
     // What the data must be new enough for, as far as the statement tells.
     Time wants(Time now) const {
-        const auto bound = kClasses[request_class].bound_us;
+        const auto bound = kClasses[request_class].max_staleness_us;
         return bound > 0 ? now - bound : after;
     }
 };
@@ -92,13 +92,14 @@
 class Fleet::Peer final : public net::ConnectionEvents {
 public:
     Peer(Fleet& of, Member& at, int proxy, evutil_socket_t fd) : of_(of), at_(at), proxy_(proxy) {
-        line_ = std::make_unique<Line>(Line::Host{of.loop_, of.deadlines_, of.random_},
-                                       *at.edges[static_cast<std::size_t>(proxy)], fd, kMostUnread, *this);
+        line_ =
+            std::make_unique<Line>(Line::Host{of.loop_, of.deadlines_, of.random_},
+                                   *at.edges[static_cast<std::size_t>(proxy)], fd, kMaxUnreadBytes, *this);
     }
     int proxy() const { return proxy_; }
     Line* line() { return line_.get(); }
     void received() override {
-        if (at_.silent) return line_->consume(line_->held());
+        if (at_.silent) return line_->consume(line_->unread_bytes());
         if (!first_byte_) first_byte_ = of_.deadlines_.now();
         try {
             while (line_) {
@@ -117,7 +118,7 @@
                 }
                 if (!line_) return;
                 line_->consume(size);
-                if (line_->held() == 0) first_byte_ = 0;
+                if (line_->unread_bytes() == 0) first_byte_ = 0;
             }
         } catch (const pgwire::ProtocolError&) {
             gone();
@@ -304,7 +305,7 @@
     for (auto& p : m.peers)
         if (p->proxy() == proxy) of_it.push_back(p.get());
     for (auto* p : of_it)
-        if (p->line()) p->line()->changed();
+        if (p->line()) p->line()->on_edge_changed();
 }
 
 void Fleet::reset(int proxy, int member) {
@@ -622,12 +623,12 @@
             if (job.peer) job.peer->write(out);
             return;
         }
-        const auto written = bank.write(job.key, data_in(job.statement), now);
+        const auto written = bank.write(job.key, parse_data(job.statement), now);
         if (!written.ran) e.what = What::repeated;
         value = written.value;
         e.position = position = written.commit;
     } else {
-        value = value_of(code_in(job.statement));
+        value = stored_value(parse_code(job.statement));
     }
     const auto row = build_row_response(value, write);
     e.value = digest_of(row).low;
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -13,7 +13,7 @@
 namespace conversation = sloestack::conversation;
 using conversation::Kind;
 
-constexpr std::size_t kMostUnread = 8 * 1024 * 1024;
+constexpr std::size_t kMaxUnreadBytes = 8 * 1024 * 1024;
 constexpr Micros kNoticeSpread = 4;  // a front notices between a quarter of the time and all of it
 constexpr std::int64_t kLeastBackoff = 12'000, kMostBackoff = 100'000;
 constexpr std::int64_t kCodes = 100'000;
@@ -21,7 +21,7 @@
 }  // namespace
 
 // A session has one row of its own, in one group.
-void Drawing::draw_session(Question& q) {
+void Drawing::draw_session(Request& q) {
     const auto number = static_cast<std::uint64_t>(random_.between(0, sessions_.each - 1));
     q.session = true;
     q.request_class = random_.unit() < sessions_.writes ? kWrite : kSessionRead;
@@ -29,8 +29,8 @@
     q.group = static_cast<int>(number % static_cast<std::uint64_t>(groups_));
 }
 
-Question Drawing::next() {
-    Question q;
+Request Drawing::next() {
+    Request q;
     double at = random_.unit();
     while (q.request_class + 1 < kRosterClasses && at >= kClasses[q.request_class].share)
         at -= kClasses[q.request_class++].share;
@@ -38,7 +38,7 @@
     q.code = hex16(static_cast<std::uint64_t>(random_.between(0, codes_ - 1)) * 0x9e3779b97f4a7c15u);
     q.group = static_cast<int>(random_.between(0, groups_ - 1));
     if (sessions_.share > 0 && random_.unit() < sessions_.share) draw_session(q);
-    q.left_ms = kClasses[q.request_class].patience_us / 1000;
+    q.left_ms = kClasses[q.request_class].timeout_us / 1000;
     if (!kClasses[q.request_class].write) return q;
     q.key = hex16(random_.next());
     q.data.resize(static_cast<std::size_t>(random_.between(8, 200)));
@@ -53,7 +53,7 @@
     Line* line() { return line_.get(); }
     void ask(Asked asked) {
         asked_ = std::move(asked);
-        until_ = of_.deadlines_.now() + asked_->question.left_ms * 1000;
+        until_ = of_.deadlines_.now() + asked_->request.left_ms * 1000;
         limit_.set(of_.deadlines_, until_ + of_.settings_.grace,
                    [this] { ended(sloestack::net::ConnectionEnd::error); });
         again_ = false;
@@ -66,7 +66,7 @@
             sent_ = up_ = false;
             auto& to = *of_.proxies_[static_cast<std::size_t>(proxy_)];
             line_ = std::make_unique<Line>(Line::Host{of_.loop_, of_.deadlines_, of_.random_}, *to.edge,
-                                           to.at, kMostUnread, *this);
+                                           to.at, kMaxUnreadBytes, *this);
         } else if (dialect_->greeted()) {
             send();
         }
@@ -123,14 +123,14 @@
         if (left < 1000)  // not at once: this may be the dialect's own call
             return limit_.set(of_.deadlines_, of_.deadlines_.now(),
                               [this] { ended(sloestack::net::ConnectionEnd::error); });
-        auto& question = asked_->question;
-        question.left_ms = left / 1000;
-        if (question.request_class == kSessionRead && of_.settings_.sessions.brought) {
-            const auto last = of_.committed_.find(question.code);
-            if (last != of_.committed_.end()) question.after_ms = (last->second + 999) / 1000;
+        auto& request = asked_->request;
+        request.left_ms = left / 1000;
+        if (request.request_class == kSessionRead && of_.settings_.sessions.brought) {
+            const auto last = of_.committed_.find(request.code);
+            if (last != of_.committed_.end()) request.after_ms = (last->second + 999) / 1000;
         }
         std::string out;
-        pgwire::Builder(out).query(statement_of(asked_->question));
+        pgwire::Builder(out).query(build_statement(asked_->request));
         sent_ = true;
         heard_ = false;
         Event e;
@@ -138,9 +138,9 @@
         if (again_) e.word = "again";
         e.at = of_.deadlines_.now();
         e.proxy = proxy_;
-        e.request_class = asked_->question.request_class;
-        e.id = asked_->question.id;
-        if (question.session) e.key = question.code;
+        e.request_class = asked_->request.request_class;
+        e.id = asked_->request.id;
+        if (request.session) e.key = request.code;
         e.since = asked_->first_at;
         e.until = until_;
         of_.witness_.saw(e);
@@ -210,13 +210,13 @@
             return;
         }
         Asked asked;
-        asked.question = home.drawing.next();
+        asked.request = home.drawing.next();
         asked.first_at = home.next_at;
         asked.home = home.proxy;
         home.next_at += std::max<std::int64_t>(
             1, static_cast<std::int64_t>(home.drawing.random().exponential(1e6 / home.rate)));
         ++open_;
-        ++counts_[asked.question.request_class].asked;
+        ++counts_[asked.request.request_class].asked;
         ask(std::move(asked));
     }
     home.arrivals.set(deadlines_, home.next_at, [this, &home] { arrive(home); });
@@ -225,7 +225,7 @@
 void Load::ask(Asked asked) {
     int to = asked.home;
     // What a proxy keeps of a session no other knows: such clients wait for theirs.
-    const bool bound = asked.question.session && !settings_.sessions.brought;
+    const bool bound = asked.request.session && !settings_.sessions.brought;
     if (!bound && !proxies_[static_cast<std::size_t>(to)]->up) {
         std::vector<int> others;
         for (std::size_t i = 0; i < proxies_.size(); ++i)
@@ -271,7 +271,7 @@
 void Load::edge_changed(int proxy) {
     auto& clients = proxies_.at(static_cast<std::size_t>(proxy))->clients;
     for (std::size_t i = 0, all = clients.size(); i < all; ++i)
-        if (auto* line = clients[i]->line()) line->changed();
+        if (auto* line = clients[i]->line()) line->on_edge_changed();
 }
 
 void Load::reset(int proxy) {
@@ -281,18 +281,18 @@
 }
 
 void Load::answered(int proxy, const Asked& asked, const conversation::Answered& a, bool sent) {
-    auto& count = counts_[asked.question.request_class];
+    auto& count = counts_[asked.request.request_class];
     const auto now = deadlines_.now();
-    const auto& model = kClasses[asked.question.request_class];
+    const auto& model = kClasses[asked.request.request_class];
     const bool safe = !model.write || a.kind == Kind::refused;
-    const auto left = asked.first_at + model.patience_us - now;
+    const auto left = asked.first_at + model.timeout_us - now;
     const bool again = a.kind != Kind::served && safe && !asked.is_retry && left > kMostBackoff;
     Event e;
     e.what = What::answered;
     e.at = now;
     e.proxy = proxy;
-    e.request_class = asked.question.request_class;
-    e.id = asked.question.id;
+    e.request_class = asked.request.request_class;
+    e.id = asked.request.id;
     e.since = asked.first_at;
     e.last = !again;
     e.word = !sent                     ? "unsent"
@@ -301,15 +301,14 @@
              : a.kind == Kind::failed  ? "failed"
                                        : "none";
     if (a.kind == Kind::served) e.value = a.digest.low;
-    if (a.kind == Kind::served && model.write && asked.question.session)
-        committed_[asked.question.code] = now;
+    if (a.kind == Kind::served && model.write && asked.request.session) committed_[asked.request.code] = now;
     witness_.saw(e);
     if (again) {
         ++count.retries;
         auto next = asked;
-        next.is_retry = next.question.repeat = true;
-        next.question.id = hex16(random_.next());
-        next.question.left_ms = left / 1000;
+        next.is_retry = next.request.repeat = true;
+        next.request.id = hex16(random_.next());
+        next.request.left_ms = left / 1000;
         const auto wait = std::max<std::int64_t>(random_.between(kLeastBackoff, kMostBackoff),
                                                  std::min<std::int64_t>(a.advice.value_or(0), left / 2));
         retries_.erase(std::remove_if(retries_.begin(), retries_.end(), [](auto& d) { return !d->is_set(); }),
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -33,11 +33,11 @@
 public:
     Drawing(std::uint64_t seed, int groups, std::int64_t codes = 100'000, SessionSettings sessions = {})
         : random_(seed), groups_(groups), codes_(codes), sessions_(sessions), first_session_(seed) {}
-    Question next();
+    Request next();
     Random& random() { return random_; }
 
 private:
-    void draw_session(Question& question);
+    void draw_session(Request& request);
 
     Random random_;
     int groups_;
@@ -79,7 +79,7 @@
 private:
     class Client;
     struct Asked {
-        Question question;
+        Request request;
         std::int64_t first_at = 0;
         bool is_retry = false;
         int home = 0;
--- a/emulator/make.cpp
+++ b/emulator/make.cpp
@@ -168,7 +168,7 @@
 struct Form {
     std::uint16_t port = 0;  // of the server
     std::vector<std::pair<Side, std::string>> opening;
-    std::string (*request)(const Question&) = nullptr;
+    std::string (*request)(const Request&) = nullptr;
     std::string (*answer)(std::string_view value, bool write) = nullptr;
 };
 
@@ -186,9 +186,9 @@
         pgwire::Builder(greeting).startup_response();
         out.port = 5433;
         out.opening = {{Side::client, up}, {Side::server, greeting}};
-        out.request = [](const Question& q) {
+        out.request = [](const Request& q) {
             std::string message;
-            pgwire::Builder(message).query(statement_of(q));
+            pgwire::Builder(message).query(build_statement(q));
             return message;
         };
         out.answer = build_row_response;
@@ -211,8 +211,8 @@
                    {Side::server, tds_message(tds::PacketType::result, tds::build_prelogin(prelogin))},
                    {Side::client, tds_message(tds::PacketType::login, tds::build_login(login))},
                    {Side::server, tds_message(tds::PacketType::result, welcome)}};
-    out.request = [](const Question& q) {
-        return tds_message(tds::PacketType::batch, tds::build_batch(tds_statement_of(q)));
+    out.request = [](const Request& q) {
+        return tds_message(tds::PacketType::batch, tds::build_batch(build_tds_statement(q)));
     };
     out.answer = [](std::string_view value, bool) {
         return tds_message(tds::PacketType::result, build_tds_row_response(value));
@@ -224,7 +224,7 @@
 const std::string& large_code() {
     static const std::string code = [] {
         for (std::uint64_t i = 1;; ++i)
-            if (auto c = hex16(i); value_of(c).size() > 50'000) return c;
+            if (auto c = hex16(i); stored_value(c).size() > 50'000) return c;
     }();
     return code;
 }
@@ -373,7 +373,7 @@
         if (!twin.key.empty()) twin.key = hex16(drawing_.random().next());
         exchange(other, twin, when + 300, std::nullopt);
     }
-    void exchange(Connection& c, const Question& q, std::int64_t when, std::optional<Damage> struck) {
+    void exchange(Connection& c, const Request& q, std::int64_t when, std::optional<Damage> struck) {
         ++made_.requests;
         ++c.asked;
         auto& random = drawing_.random();
@@ -384,7 +384,7 @@
         c.free_at = when + takes + random.between(500, 4000);
         const auto request = form_.request(q);
         const bool write = kClasses[q.request_class].write;
-        const auto answer = form_.answer(write ? q.data : value_of(q.code), write);
+        const auto answer = form_.answer(write ? q.data : stored_value(q.code), write);
         if (struck == Damage::cut_head) struck.reset();
         at(when, [this, number, port, request, struck, when] {
             const bool mine = struck && !of_answer(*struck);
--- a/emulator/readiness.cpp
+++ b/emulator/readiness.cpp
@@ -8,21 +8,21 @@
 
 namespace net = sloestack::net;
 namespace pgwire = sloestack::pgwire;
-constexpr Micros kLookAgain = 20'000;
-constexpr Micros kPatience = 1'000'000;
-constexpr std::size_t kMostUnread = 64 * 1024;
+constexpr Micros kRetryDelay = 20'000;
+constexpr Micros kResponseTimeout = 1'000'000;
+constexpr std::size_t kMaxUnreadBytes = 64 * 1024;
 
 }  // namespace
 
 Readiness::Readiness(const Line::Host& host, const Edge& edge, const sockaddr_in& at,
                      std::function<void()> ready)
     : host_(host), edge_(edge), at_(at), ready_(std::move(ready)) {
-    again_.set(host_.deadlines, host_.deadlines.now(), [this] { open(); });
+    retry_.set(host_.deadlines, host_.deadlines.now(), [this] { open(); });
 }
 
 void Readiness::open() {
-    again_.set(host_.deadlines, host_.deadlines.now() + kPatience, [this] { open(); });
-    line_ = std::make_unique<Line>(host_, edge_, at_, kMostUnread, *this);
+    retry_.set(host_.deadlines, host_.deadlines.now() + kResponseTimeout, [this] { open(); });
+    line_ = std::make_unique<Line>(host_, edge_, at_, kMaxUnreadBytes, *this);
 }
 
 void Readiness::connected() {
@@ -35,7 +35,7 @@
     try {
         while (const auto m = pgwire::next_message(line_->unread())) {
             if (m->type == 'I') {
-                again_.clear();
+                retry_.clear();
                 line_.reset();
                 return ready_();
             }
@@ -49,7 +49,7 @@
 
 void Readiness::ended(net::ConnectionEnd) {
     line_.reset();
-    again_.set(host_.deadlines, host_.deadlines.now() + kLookAgain, [this] { open(); });
+    retry_.set(host_.deadlines, host_.deadlines.now() + kRetryDelay, [this] { open(); });
 }
 
 }  // namespace emulator
--- a/emulator/readiness.h
+++ b/emulator/readiness.h
@@ -1,4 +1,5 @@
-// Asks what the platform's front asks of a proxy: an empty query, again and again until it is answered.
+// The health check of the platform's front: sends an empty query to a proxy, repeatedly, until it gets a
+// response.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 class Readiness final : public sloestack::net::ConnectionEvents {
 public:
-    // `edge` must outlive it. `ready` is called once, and may destroy it.
+    // Begins at once. `edge` must outlive this object. `ready` is called once, and may destroy it.
     Readiness(const Line::Host& host, const Edge& edge, const sockaddr_in& at, std::function<void()> ready);
 
     void connected() override;
@@ -24,7 +25,7 @@
     const Edge& edge_;
     sockaddr_in at_;
     std::function<void()> ready_;
-    sloestack::Deadline again_;
+    sloestack::Deadline retry_;
     std::unique_ptr<Line> line_;
 };
 
--- a/emulator/settings.cpp
+++ b/emulator/settings.cpp
@@ -15,11 +15,11 @@
                            {"group", "cell"},
                            {"memory-span-us", 5'000'000},
                            {"promise-us", c.latency_objective_us},
-                           {"deadline-us", c.patience_us},
-                           {"worth", c.worth},
+                           {"deadline-us", c.timeout_us},
+                           {"worth", c.priority_weight},
                            {"late-worth", c.write ? 0.5 : 0.0}});
-        reads.push_back(c.write ? "mutate" : c.bound_us ? "lag_bound" : "eventual");
-        bounds.push_back(c.bound_us);
+        reads.push_back(c.write ? "mutate" : c.max_staleness_us ? "lag_bound" : "eventual");
+        bounds.push_back(c.max_staleness_us);
     }
     const json settings = {{"balancers", 1},
                            {"zone", 0},
@@ -66,8 +66,8 @@
     settings["classes"].push_back({{"name", c.name},
                                    {"effect", "read_like"},
                                    {"promise-us", c.latency_objective_us},
-                                   {"deadline-us", c.patience_us},
-                                   {"worth", c.worth},
+                                   {"deadline-us", c.timeout_us},
+                                   {"worth", c.priority_weight},
                                    {"late-worth", 0.0}});
     auto& specifics = settings["specifics"];
     specifics["class-read"].push_back("causal");
--- a/emulator/settings.h
+++ b/emulator/settings.h
@@ -1,5 +1,5 @@
-// The configuration of a proxy before stand-ins: the roster's classes with the times and rules of its
-// operators.
+// The configuration of a proxy whose endpoints are emulators: the request classes of the roster system, with
+// the times and rules that its operators state.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,10 +7,11 @@
 
 namespace emulator {
 
-// As EDGE_CONFIG's file has it. `known` is discovery's whole list, or null.
+// Returns the contents of the file that EDGE_CONFIG names. `known` is a complete endpoint list, or null.
 nlohmann::json proxy_config(const std::string& listen, const std::string& discovery,
                             const nlohmann::json& known, int sockets);
-// Adds the class of session reads; `brought`: clients carry their last commit, else a proxy keeps it.
+// Adds the request class of session reads. `brought`: clients send the position of their last write;
+// otherwise the proxy keeps it.
 void add_sessions(nlohmann::json& config, bool brought);
 
 }  // namespace emulator
--- a/emulator/values.cpp
+++ b/emulator/values.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::uint32_t kBytea = 17;
-constexpr std::size_t kLargeValue = 100'000;  // beyond what the proxy gathers whole
-constexpr std::uint64_t kLargeEvery = 4096;   // one code in so many has such a value
+constexpr std::size_t kLargeValue = 100'000;  // more than the proxy buffers of a response
+constexpr std::uint64_t kLargeEvery = 4096;   // one code in this many has a large value
 
 std::string hex(std::string_view bytes) {
     constexpr char digits[] = "0123456789abcdef";
@@ -34,10 +34,9 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return z ^ (z >> 31);
 }
-std::int64_t Random::between(std::int64_t least, std::int64_t most) {
-    return most <= least
-               ? least
-               : least + static_cast<std::int64_t>(next() % static_cast<std::uint64_t>(most - least + 1));
+std::int64_t Random::between(std::int64_t min, std::int64_t max) {
+    return max <= min ? min
+                      : min + static_cast<std::int64_t>(next() % static_cast<std::uint64_t>(max - min + 1));
 }
 double Random::exponential(double mean) { return -mean * std::log(1 - unit()); }
 
@@ -54,7 +53,7 @@
 
 namespace {
 
-std::string tags_of(const Question& q) {
+std::string build_tags(const Request& q) {
     std::string out =
         " /* id=" + q.id + ",c=" + kClasses[q.request_class].name + ",d=" + std::to_string(q.left_ms);
     if (!q.key.empty()) out += ",k=" + q.key;
@@ -62,25 +61,25 @@
     if (q.after_ms > 0) out += ",after=" + std::to_string(q.after_ms);
     return out + (q.repeat ? ",r=1 */" : " */");
 }
-std::string read_of(const Question& q) {
-    return "SELECT data FROM facts WHERE code = '" + q.code + "'" + tags_of(q);
+std::string build_read(const Request& q) {
+    return "SELECT data FROM facts WHERE code = '" + q.code + "'" + build_tags(q);
 }
 
 }  // namespace
 
-std::string statement_of(const Question& q) {
-    if (!kClasses[q.request_class].write) return read_of(q);
+std::string build_statement(const Request& q) {
+    if (!kClasses[q.request_class].write) return build_read(q);
     return "INSERT INTO facts (code, data) VALUES ('" + q.code + "', '\\x" + hex(q.data) +
-           "') RETURNING data" + tags_of(q);
+           "') RETURNING data" + build_tags(q);
 }
 
-std::string tds_statement_of(const Question& q) {
-    if (!kClasses[q.request_class].write) return read_of(q);
+std::string build_tds_statement(const Request& q) {
+    if (!kClasses[q.request_class].write) return build_read(q);
     return "INSERT INTO facts (code, data) OUTPUT inserted.data VALUES ('" + q.code + "', 0x" + hex(q.data) +
-           ")" + tags_of(q);
+           ")" + build_tags(q);
 }
 
-std::string value_of(std::string_view code) {
+std::string stored_value(std::string_view code) {
     Random random(mixed(7, code));
     const bool large = random.next() % kLargeEvery == 0;
     std::string out(large ? kLargeValue : static_cast<std::size_t>(random.between(16, 300)), '\0');
@@ -88,14 +87,14 @@
     return out;
 }
 
-std::string code_in(std::string_view statement) {
+std::string parse_code(std::string_view statement) {
     const auto from = statement.find('\'');
     const auto to = from == std::string_view::npos ? from : statement.find('\'', from + 1);
     return to == std::string_view::npos ? std::string()
                                         : std::string(statement.substr(from + 1, to - from - 1));
 }
 
-std::string data_in(std::string_view statement) {
+std::string parse_data(std::string_view statement) {
     const auto from = statement.find("'\\x");
     const auto to = from == std::string_view::npos ? from : statement.find('\'', from + 3);
     if (to == std::string_view::npos) return {};
--- a/tests/emulator/emulator_test.cpp
+++ b/tests/emulator/emulator_test.cpp
@@ -1,5 +1,5 @@
 // The stand-ins' pure parts: the bank, the checker of the rules, the script. A checker that cannot find a
-// broken rule is worth nothing, so each rule is broken once.
+// broken rule is priority_weight nothing, so each rule is broken once.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -345,17 +345,17 @@
 }
 
 TEST(Values, StatementsAndValuesAgree) {
-    Question q;
+    Request q;
     q.request_class = 2;
     q.id = "1";
     q.code = "c";
     q.key = "k";
     q.data = std::string("\x00\xff'\\", 4);
     q.left_ms = 5;
-    EXPECT_EQ(data_in(statement_of(q)), q.data);
-    EXPECT_EQ(code_in(statement_of(q)), "c");
-    EXPECT_EQ(value_of("c"), value_of("c"));
-    EXPECT_NE(value_of("c"), value_of("d"));
+    EXPECT_EQ(parse_data(build_statement(q)), q.data);
+    EXPECT_EQ(parse_code(build_statement(q)), "c");
+    EXPECT_EQ(stored_value("c"), stored_value("c"));
+    EXPECT_NE(stored_value("c"), stored_value("d"));
 }
 
 }  // namespace
