--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -14,14 +14,14 @@
 using conversation::Kind;
 
 constexpr std::size_t kMaxUnreadBytes = 8 * 1024 * 1024;
-constexpr Micros kNoticeSpread = 4;  // a front notices between a quarter of the time and all of it
-constexpr std::int64_t kLeastBackoff = 12'000, kMostBackoff = 100'000;
-constexpr std::int64_t kCodes = 100'000;
+constexpr Micros kNoticeSpread = 4;  // the front stops using a proxy after a quarter to all of `notice`
+constexpr std::int64_t kMinBackoff = 12'000, kMaxBackoff = 100'000;
+constexpr std::int64_t kRowCodes = 100'000;
 
 }  // namespace
 
-// A session has one row of its own, in one group.
-void Drawing::draw_session(Request& q) {
+// Each session has a row of its own, in one replica group.
+void RequestGenerator::draw_session(Request& q) {
     const auto number = static_cast<std::uint64_t>(random_.between(0, sessions_.each - 1));
     q.session = true;
     q.request_class = random_.unit() < sessions_.writes ? kWrite : kSessionRead;
@@ -29,7 +29,7 @@
     q.group = static_cast<int>(number % static_cast<std::uint64_t>(groups_));
 }
 
-Request Drawing::next() {
+Request RequestGenerator::next() {
     Request q;
     double at = random_.unit();
     while (q.request_class + 1 < kRosterClasses && at >= kClasses[q.request_class].share)
@@ -48,133 +48,134 @@
 
 class Load::Client final : public sloestack::net::ConnectionEvents, private conversation::Listener {
 public:
-    Client(Load& of, int proxy) : of_(of), proxy_(proxy) {}
-    bool free() const { return !asked_; }
+    Client(Load& load, int proxy) : load_(load), proxy_(proxy) {}
+    bool is_free() const { return !pending_; }
     Line* line() { return line_.get(); }
-    void ask(Asked asked) {
-        asked_ = std::move(asked);
-        until_ = of_.deadlines_.now() + asked_->request.left_ms * 1000;
-        limit_.set(of_.deadlines_, until_ + of_.settings_.grace,
+    void send_request(PendingRequest asked) {
+        pending_ = std::move(asked);
+        deadline_at_ = load_.deadlines_.now() + pending_->request.left_ms * 1000;
+        timer_.set(load_.deadlines_, deadline_at_ + load_.settings_.grace,
                    [this] { ended(sloestack::net::ConnectionEnd::error); });
-        again_ = false;
-        begin();
+        is_resent_ = false;
+        begin_attempt();
     }
-    void begin() {
+    void begin_attempt() {
         if (!line_) {
-            kept_ = false;
-            dialect_ = conversation::postgres().begin(1, of_.memory_, *this);
-            sent_ = up_ = false;
-            auto& to = *of_.proxies_[static_cast<std::size_t>(proxy_)];
-            line_ = std::make_unique<Line>(Line::Host{of_.loop_, of_.deadlines_, of_.random_}, *to.edge,
+            is_reused_ = false;
+            dialect_ = conversation::postgres().begin(1, load_.memory_, *this);
+            is_sent_ = is_connected_ = false;
+            auto& to = *load_.proxies_[static_cast<std::size_t>(proxy_)];
+            line_ = std::make_unique<Line>(Line::Host{load_.loop_, load_.deadlines_, load_.random_}, *to.edge,
                                            to.at, kMaxUnreadBytes, *this);
         } else if (dialect_->greeted()) {
-            send();
+            write_request();
         }
     }
     void connected() override {
-        up_ = true;
+        is_connected_ = true;
         std::string out;
         pgwire::Builder(out).startup_message("portal", "crm");
-        dialect_->read(conversation::Side::client, out, of_.deadlines_.now());
+        dialect_->read(conversation::Side::client, out, load_.deadlines_.now());
         line_->write(out);
     }
     void received() override {
         const std::string bytes(line_->unread());
-        dialect_->read(conversation::Side::server, bytes, of_.deadlines_.now());
+        dialect_->read(conversation::Side::server, bytes, load_.deadlines_.now());
         if (line_) line_->consume(bytes.size());
-        of_.reached(proxy_);
-        heard_ = true;
-        finish();
+        load_.on_reachable(proxy_);
+        has_received_ = true;
+        finish_request();
     }
     void ended(sloestack::net::ConnectionEnd) override {
-        const bool was_up = up_;
+        const bool was_up = is_connected_;
         line_.reset();
-        up_ = false;
-        // A connection that was closed between requests may have crossed this one: it is sent again, once.
-        if (asked_ && sent_ && !got_ && kept_ && !heard_ && !again_ && of_.deadlines_.now() < until_) {
-            again_ = true;
-            return begin();
+        is_connected_ = false;
+        // The proxy may have closed an idle connection while the request was on its way: resend it once.
+        if (pending_ && is_sent_ && !response_ && is_reused_ && !has_received_ && !is_resent_ &&
+            load_.deadlines_.now() < deadline_at_) {
+            is_resent_ = true;
+            return begin_attempt();
         }
-        limit_.clear();
-        if (!was_up) of_.unreachable(proxy_);
-        if (!asked_) return;
-        // Never written: it has not been taken. Written: what became of it is unknown.
-        if (!sent_) {
+        timer_.clear();
+        if (!was_up) load_.on_unreachable(proxy_);
+        if (!pending_) return;
+        // A request that was never written was not accepted; the outcome of one that was written is unknown.
+        if (!is_sent_) {
             conversation::Answered none;
             none.kind = Kind::refused;
-            got_ = none;
-        } else if (!got_) {
-            dialect_->over(of_.deadlines_.now());
-            if (!got_) got_.emplace();
+            response_ = none;
+        } else if (!response_) {
+            dialect_->over(load_.deadlines_.now());
+            if (!response_) response_.emplace();
         }
-        finish();
+        finish_request();
     }
 
 private:
     void greeted(conversation::ConnectionId, conversation::Time, const conversation::Digest&) override {
-        if (asked_) send();
+        if (pending_) write_request();
     }
     void asked(const conversation::Asked&) override {}
-    void answered(const conversation::Answered& a) override { got_ = a; }
-    // The time that a connection took to come up is the request's own; where it took all of it, nothing is
-    // sent.
-    void send() {
-        const auto left = until_ - of_.deadlines_.now();
-        if (left < 1000)  // not at once: this may be the dialect's own call
-            return limit_.set(of_.deadlines_, of_.deadlines_.now(),
+    void answered(const conversation::Answered& a) override { response_ = a; }
+    // Writes the request. The time to establish the connection counts towards the deadline; if none is left,
+    // nothing is written.
+    void write_request() {
+        const auto left = deadline_at_ - load_.deadlines_.now();
+        if (left < 1000)  // deferred: the dialect may be the caller
+            return timer_.set(load_.deadlines_, load_.deadlines_.now(),
                               [this] { ended(sloestack::net::ConnectionEnd::error); });
-        auto& request = asked_->request;
+        auto& request = pending_->request;
         request.left_ms = left / 1000;
-        if (request.request_class == kSessionRead && of_.settings_.sessions.brought) {
-            const auto last = of_.committed_.find(request.code);
-            if (last != of_.committed_.end()) request.after_ms = (last->second + 999) / 1000;
+        if (request.request_class == kSessionRead && load_.settings_.sessions.brought) {
+            const auto last = load_.last_commit_by_session_.find(request.code);
+            if (last != load_.last_commit_by_session_.end()) request.after_ms = (last->second + 999) / 1000;
         }
         std::string out;
-        pgwire::Builder(out).query(build_statement(asked_->request));
-        sent_ = true;
-        heard_ = false;
+        pgwire::Builder(out).query(build_statement(pending_->request));
+        is_sent_ = true;
+        has_received_ = false;
         Event e;
         e.what = What::asked;
-        if (again_) e.word = "again";
-        e.at = of_.deadlines_.now();
+        if (is_resent_) e.word = "again";
+        e.at = load_.deadlines_.now();
         e.proxy = proxy_;
-        e.request_class = asked_->request.request_class;
-        e.id = asked_->request.id;
+        e.request_class = pending_->request.request_class;
+        e.id = pending_->request.id;
         if (request.session) e.key = request.code;
-        e.since = asked_->first_at;
-        e.until = until_;
-        of_.witness_.saw(e);
-        dialect_->read(conversation::Side::client, out, of_.deadlines_.now());
+        e.since = pending_->first_at;
+        e.until = deadline_at_;
+        load_.event_sink_.saw(e);
+        dialect_->read(conversation::Side::client, out, load_.deadlines_.now());
         line_->write(out);
     }
-    void finish() {
-        if (!got_ || !asked_) return;
-        limit_.clear();
-        kept_ = line_ != nullptr;
-        const auto asked = *std::exchange(asked_, std::nullopt);
-        const auto got = *std::exchange(got_, std::nullopt);
-        of_.answered(proxy_, asked, got, sent_);
+    void finish_request() {
+        if (!response_ || !pending_) return;
+        timer_.clear();
+        is_reused_ = line_ != nullptr;
+        const auto asked = *std::exchange(pending_, std::nullopt);
+        const auto got = *std::exchange(response_, std::nullopt);
+        load_.answered(proxy_, asked, got, is_sent_);
     }
-    Load& of_;
+    Load& load_;
     int proxy_;
-    std::optional<Asked> asked_;
-    std::optional<conversation::Answered> got_;
-    bool sent_ = false, up_ = false;
-    bool kept_ = false;   // the connection has answered before
-    bool heard_ = false;  // something has come since the request was sent
-    bool again_ = false;  // it is sent a second time
-    Time until_ = 0;      // when it gives up what it asks
+    std::optional<PendingRequest> pending_;
+    std::optional<conversation::Answered> response_;
+    bool is_sent_ = false, is_connected_ = false;
+    bool is_reused_ = false;     // the connection has carried a response before
+    bool has_received_ = false;  // bytes arrived after the request was written
+    bool is_resent_ = false;     // the request was written a second time
+    Time deadline_at_ = 0;       // deadline of the request
     std::unique_ptr<conversation::Dialect> dialect_;
     std::unique_ptr<Line> line_;
-    sloestack::Deadline limit_;
+    sloestack::Deadline timer_;
 };
 
 Load::Load(sloestack::net::Loop& loop, sloestack::Deadlines& deadlines, const LoadSettings& settings,
-           EventSink& witness)
+           EventSink& event_sink)
     : loop_(loop),
       deadlines_(deadlines),
       settings_(settings),
-      witness_(witness),
+      event_sink_(event_sink),
       random_(
           mixed(settings.seed, "front " + std::to_string(settings.homes.empty() ? 0 : settings.homes[0]))),
       start_(deadlines.now()) {
@@ -185,46 +186,49 @@
         proxies_.back()->edge = std::make_unique<Edge>();
     }
     for (const int proxy : settings.homes) {
-        // Each proxy's clients are drawn by its number, whoever else is played in this process.
+        // The seed depends on the proxy's number only, not on the other proxies whose clients run in this
+        // process.
         const auto seed = mixed(settings.seed, "clients " + std::to_string(proxy));
-        auto home = std::make_unique<Home>(proxy, settings.rate,
-                                           Drawing(seed, settings.groups, kCodes, settings.sessions), start_);
+        auto home = std::make_unique<Home>(
+            proxy, settings.rate, RequestGenerator(seed, settings.groups, kRowCodes, settings.sessions),
+            start_);
         if (settings.uneven > 1) {
-            // Even in the logarithm, with the mean kept: (u - 1/u) / (2 ln u) is the mean of u^[-1, 1].
+            // Distributed uniformly in the logarithm, with the mean kept: (u - 1/u) / (2 ln u) is the mean of
+            // u^[-1, 1].
             const double u = settings.uneven;
             const double mean = (u - 1 / u) / (2 * std::log(u));
-            home->rate *= std::pow(u, 2 * home->drawing.random().unit() - 1) / mean;
+            home->rate *= std::pow(u, 2 * home->generator.random().unit() - 1) / mean;
         }
         homes_.push_back(std::move(home));
     }
-    for (auto& home : homes_) arrive(*home);
+    for (auto& home : homes_) generate_arrivals(*home);
 }
 
 Load::~Load() = default;
 
-void Load::arrive(Home& home) {
+void Load::generate_arrivals(Home& home) {
     const auto now = deadlines_.now();
     while (home.next_at <= now) {
         if (home.next_at - start_ >= settings_.length_us) {
-            ++over_;
+            ++finished_homes_;
             return;
         }
-        Asked asked;
-        asked.request = home.drawing.next();
+        PendingRequest asked;
+        asked.request = home.generator.next();
         asked.first_at = home.next_at;
         asked.home = home.proxy;
         home.next_at += std::max<std::int64_t>(
-            1, static_cast<std::int64_t>(home.drawing.random().exponential(1e6 / home.rate)));
-        ++open_;
+            1, static_cast<std::int64_t>(home.generator.random().exponential(1e6 / home.rate)));
+        ++open_requests_;
         ++counts_[asked.request.request_class].asked;
-        ask(std::move(asked));
+        send_request(std::move(asked));
     }
-    home.arrivals.set(deadlines_, home.next_at, [this, &home] { arrive(home); });
+    home.arrivals.set(deadlines_, home.next_at, [this, &home] { generate_arrivals(home); });
 }
 
-void Load::ask(Asked asked) {
+void Load::send_request(PendingRequest asked) {
     int to = asked.home;
-    // What a proxy keeps of a session no other knows: such clients wait for theirs.
+    // Only its own proxy knows the last write of such a session, so its clients wait for that proxy.
     const bool bound = asked.request.session && !settings_.sessions.brought;
     if (!bound && !proxies_[static_cast<std::size_t>(to)]->up) {
         std::vector<int> others;
@@ -234,20 +238,21 @@
             to = others[static_cast<std::size_t>(
                 random_.between(0, static_cast<std::int64_t>(others.size()) - 1))];
     }
-    go(to, std::move(asked));
+    assign(to, std::move(asked));
 }
 
-void Load::go(int proxy, Asked asked) {
+void Load::assign(int proxy, PendingRequest asked) {
     auto& to = *proxies_[static_cast<std::size_t>(proxy)];
-    const auto free = std::find_if(to.clients.begin(), to.clients.end(), [](auto& c) { return c->free(); });
-    if (free != to.clients.end()) return (*free)->ask(std::move(asked));
+    const auto free =
+        std::find_if(to.clients.begin(), to.clients.end(), [](auto& c) { return c->is_free(); });
+    if (free != to.clients.end()) return (*free)->send_request(std::move(asked));
     if (to.clients.size() >= settings_.most_connections) return void(to.waiting.push_back(std::move(asked)));
     to.clients.push_back(std::make_unique<Client>(*this, proxy));
-    to.clients.back()->ask(std::move(asked));
+    to.clients.back()->send_request(std::move(asked));
 }
 
-// The front notices late, and takes a proxy in again only once it has answered an empty query.
-void Load::unreachable(int proxy) {
+// The front stops using a proxy with a delay, and uses it again only after a response to an empty query.
+void Load::on_unreachable(int proxy) {
     auto& p = *proxies_[static_cast<std::size_t>(proxy)];
     const auto now = deadlines_.now();
     if (!p.failed_at)
@@ -262,12 +267,12 @@
         });
 }
 
-void Load::reached(int proxy) {
+void Load::on_reachable(int proxy) {
     auto& p = *proxies_[static_cast<std::size_t>(proxy)];
     if (p.up) p.failed_at = 0;
 }
 
-// What is done to one client can bring a new one about, or send a free one off again.
+// A change to one client can add a client or make a free one send again, so this iterates by index.
 void Load::edge_changed(int proxy) {
     auto& clients = proxies_.at(static_cast<std::size_t>(proxy))->clients;
     for (std::size_t i = 0, all = clients.size(); i < all; ++i)
@@ -280,13 +285,13 @@
         if (clients[i]->line()) clients[i]->ended(sloestack::net::ConnectionEnd::error);
 }
 
-void Load::answered(int proxy, const Asked& asked, const conversation::Answered& a, bool sent) {
+void Load::answered(int proxy, const PendingRequest& asked, const conversation::Answered& a, bool sent) {
     auto& count = counts_[asked.request.request_class];
     const auto now = deadlines_.now();
     const auto& model = kClasses[asked.request.request_class];
     const bool safe = !model.write || a.kind == Kind::refused;
     const auto left = asked.first_at + model.timeout_us - now;
-    const bool again = a.kind != Kind::served && safe && !asked.is_retry && left > kMostBackoff;
+    const bool again = a.kind != Kind::served && safe && !asked.is_retry && left > kMaxBackoff;
     Event e;
     e.what = What::answered;
     e.at = now;
@@ -301,22 +306,24 @@
              : a.kind == Kind::failed  ? "failed"
                                        : "none";
     if (a.kind == Kind::served) e.value = a.digest.low;
-    if (a.kind == Kind::served && model.write && asked.request.session) committed_[asked.request.code] = now;
-    witness_.saw(e);
+    if (a.kind == Kind::served && model.write && asked.request.session)
+        last_commit_by_session_[asked.request.code] = now;
+    event_sink_.saw(e);
     if (again) {
         ++count.retries;
         auto next = asked;
         next.is_retry = next.request.repeat = true;
         next.request.id = hex16(random_.next());
         next.request.left_ms = left / 1000;
-        const auto wait = std::max<std::int64_t>(random_.between(kLeastBackoff, kMostBackoff),
+        const auto wait = std::max<std::int64_t>(random_.between(kMinBackoff, kMaxBackoff),
                                                  std::min<std::int64_t>(a.advice.value_or(0), left / 2));
-        retries_.erase(std::remove_if(retries_.begin(), retries_.end(), [](auto& d) { return !d->is_set(); }),
-                       retries_.end());
-        retries_.push_back(std::make_unique<sloestack::Deadline>());
-        retries_.back()->set(deadlines_, now + wait, [this, next] { ask(next); });
+        retry_timers_.erase(std::remove_if(retry_timers_.begin(), retry_timers_.end(),
+                                           [](auto& d) { return !d->is_set(); }),
+                            retry_timers_.end());
+        retry_timers_.push_back(std::make_unique<sloestack::Deadline>());
+        retry_timers_.back()->set(deadlines_, now + wait, [this, next] { send_request(next); });
     } else {
-        --open_;
+        --open_requests_;
         if (a.kind == Kind::served) {
             ++count.served;
             count.latency_us.add(now - asked.first_at);
@@ -330,7 +337,7 @@
     if (waiting.empty()) return;
     auto next = std::move(waiting.front());
     waiting.pop_front();
-    go(proxy, std::move(next));
+    assign(proxy, std::move(next));
 }
 
 }  // namespace emulator
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -1,6 +1,6 @@
-// Scripted clients: requests of the roster's classes at a rate, on connections that are held on to; retried
-// as the operators' clients do. The arrivals are drawn by a seed and do not wait for answers. Clients stick
-// to their proxy and go to another while theirs is taken for gone, as a plain front has it.
+// Scripted clients: requests of the roster system's classes at a given rate, on connections that are reused,
+// retried as the operators' clients do. Arrivals are drawn with a seed and do not wait for responses. Clients
+// use their own proxy, and another one while theirs counts as gone, as with a plain front.
 #pragma once
 
 #include <cstdint>
@@ -20,18 +20,20 @@
 
 namespace emulator {
 
-// Clients that write a row and read it again, and must see what they wrote.
+// Client sessions: each writes one row, reads it again and must see its last write.
 struct SessionSettings {
-    double share = 0;      // of the requests
-    double writes = 0.3;   // of a session's requests
-    int each = 20;         // sessions of each proxy's own clients
-    bool brought = false;  // the client carries its last commit and may go to any proxy; else it keeps to one
+    double share = 0;     // of the requests
+    double writes = 0.3;  // share of a session's requests
+    int each = 20;        // number of sessions per proxy
+    bool brought =
+        false;  // clients send their last commit and may use any proxy; otherwise they use one only
 };
 
-// Draws the next request: class by share, a new id, key and data where it writes. Pure.
-class Drawing {
+// Draws requests: a class by its share, a new id, and a key and data for a write. Does no I/O.
+class RequestGenerator {
 public:
-    Drawing(std::uint64_t seed, int groups, std::int64_t codes = 100'000, SessionSettings sessions = {})
+    RequestGenerator(std::uint64_t seed, int groups, std::int64_t codes = 100'000,
+                     SessionSettings sessions = {})
         : random_(seed), groups_(groups), codes_(codes), sessions_(sessions), first_session_(seed) {}
     Request next();
     Random& random() { return random_; }
@@ -47,17 +49,17 @@
 };
 
 struct LoadSettings {
-    double rate = 200;  // a second, of each proxy's own clients
+    double rate = 200;  // requests per second from the clients of each proxy
     std::int64_t length_us = 10'000'000;
     int groups = 2;
     SessionSettings sessions;
     std::uint64_t seed = 1;
     std::size_t most_connections = 256;  // to each proxy
-    double uneven = 1;                   // a proxy's share lies between one of it and so many times the mean
-    std::vector<sockaddr_in> proxies;    // all there are
-    std::vector<int> homes;              // those whose clients these are
-    Micros grace = 300'000;              // how long beyond its time a client still takes an answer
-    Micros notice = 1'000'000;           // from a proxy's silence until the front sends nothing there
+    double uneven = 1;  // the rate of a proxy varies between the mean divided and multiplied by about this
+    std::vector<sockaddr_in> proxies;  // all proxies
+    std::vector<int> homes;            // indices of the proxies whose clients this object runs
+    Micros grace = 300'000;            // how long after its deadline a client still accepts a response
+    Micros notice = 1'000'000;  // from the first failed connection to a proxy until the front stops using it
 };
 
 struct ClassCount {
@@ -68,17 +70,17 @@
 class Load {
 public:
     Load(sloestack::net::Loop& loop, sloestack::Deadlines& deadlines, const LoadSettings& settings,
-         EventSink& witness);
+         EventSink& event_sink);
     ~Load();
-    bool over() const { return over_ == homes_.size() && open_ == 0; }
+    bool over() const { return finished_homes_ == homes_.size() && open_requests_ == 0; }
     const ClassCount& count(int request_class) const { return counts_[request_class]; }
     Edge& edge(int proxy) { return *proxies_.at(static_cast<std::size_t>(proxy))->edge; }
     void edge_changed(int proxy);
-    void reset(int proxy);  // its clients' connections
+    void reset(int proxy);  // closes the connections of its clients
 
 private:
     class Client;
-    struct Asked {
+    struct PendingRequest {
         Request request;
         std::int64_t first_at = 0;
         bool is_retry = false;
@@ -88,39 +90,41 @@
         sockaddr_in at{};
         std::unique_ptr<Edge> edge;
         bool up = true;
-        Time failed_at = 0;  // first time it was not to be reached since it last was
+        Time failed_at = 0;  // first failed connection since the proxy was last reachable; 0: none
         std::vector<std::unique_ptr<Client>> clients;
-        std::deque<Asked> waiting;
-        std::unique_ptr<Readiness> readiness;  // while it is taken for gone
+        std::deque<PendingRequest> waiting;
+        std::unique_ptr<Readiness> readiness;  // set while the proxy counts as gone
     };
     struct Home {
-        Home(int p, double r, Drawing d, std::int64_t first_at)
-            : proxy(p), rate(r), drawing(std::move(d)), next_at(first_at) {}
+        Home(int p, double r, RequestGenerator d, std::int64_t first_at)
+            : proxy(p), rate(r), generator(std::move(d)), next_at(first_at) {}
         int proxy;
         double rate;
-        Drawing drawing;
+        RequestGenerator generator;
         std::int64_t next_at;
         sloestack::Deadline arrivals;
     };
-    void arrive(Home& home);
-    void ask(Asked asked);
-    void go(int proxy, Asked asked);
-    void unreachable(int proxy);
-    void reached(int proxy);
-    void answered(int proxy, const Asked& asked, const sloestack::conversation::Answered& answer, bool sent);
+    void generate_arrivals(Home& home);
+    void send_request(PendingRequest asked);
+    void assign(int proxy, PendingRequest asked);
+    void on_unreachable(int proxy);
+    void on_reachable(int proxy);
+    void answered(int proxy, const PendingRequest& asked, const sloestack::conversation::Answered& answer,
+                  bool sent);
 
     sloestack::net::Loop& loop_;
     sloestack::Deadlines& deadlines_;
     LoadSettings settings_;
-    EventSink& witness_;
+    EventSink& event_sink_;
     Random random_;
     std::int64_t start_;
-    std::size_t over_ = 0, open_ = 0;
+    std::size_t finished_homes_ = 0, open_requests_ = 0;
     std::vector<std::unique_ptr<Proxy>> proxies_;
     std::vector<std::unique_ptr<Home>> homes_;
-    std::vector<std::unique_ptr<sloestack::Deadline>> retries_;
+    std::vector<std::unique_ptr<sloestack::Deadline>> retry_timers_;
     sloestack::conversation::Memory memory_;
-    std::map<std::string, Time> committed_;  // by session: when its last write was answered
+    std::map<std::string, Time>
+        last_commit_by_session_;  // by session: when the response to its last write arrived
     ClassCount counts_[kClassCount];
 };
 
--- a/emulator/make.cpp
+++ b/emulator/make.cpp
@@ -54,48 +54,51 @@
                                                      {"snap", Damage::snap},
                                                      {"vlans", Damage::vlans},
                                                      {"truncate", Damage::truncate}};
-constexpr int kMostOfOne = 10'000;
-constexpr std::uint32_t kStruck = 2;       // the third request of a connection is the one that is struck
-constexpr std::int64_t kIdle = 8'000'000;  // a client closes then; the proxy would after 10 s
-constexpr std::int64_t kTwoSeconds = 2'000'000;
-constexpr int kEthernet = 1;  // the link type of the files made here
+constexpr int kMaxDamageCount = 10'000;
+constexpr std::uint32_t kDamagedRequest = 2;  // index of the damaged request of a connection
+constexpr std::int64_t kClientIdleTimeoutUs =
+    8'000'000;  // a client closes an idle connection; shorter than the proxy's 10 s
+constexpr std::int64_t kTwoSecondsUs = 2'000'000;
+constexpr int kEthernet = 1;  // link type of the recordings
 constexpr std::uint16_t kFirstPort = 10'000, kLastPort = 60'000;
-constexpr std::uint32_t kNearWrap = 0xffffff00;  // some 256 bytes before the sequence numbers start anew
+constexpr std::uint32_t kFirstSequenceNearWrap = 0xffffff00;  // 256 bytes before the sequence numbers wrap
 
-// Stands between the writer and the file, and strikes the packets of the call that it is armed for.
-class Striker final : public pcap::Sink {
+// Passes frames from the writer to the file and applies the armed damage to those that carry payload.
+class DamageSink final : public pcap::Sink {
 public:
-    Striker(pcap::Sink& out, std::uint16_t server_port) : out_(out), server_port_(server_port) {}
+    DamageSink(pcap::Sink& out, std::uint16_t server_port) : out_(out), server_port_(server_port) {}
     void arm(std::optional<Damage> damage) {
         damage_ = damage;
         payloads_ = 0;
-        held_.reset();
+        delayed_frame_.reset();
     }
-    void silence(std::uint16_t port) { silent_.insert(port); }
-    void speak(std::uint16_t port) { silent_.erase(port); }
-    void shift(std::uint16_t port, std::int64_t by_us) { shifted_[port] = by_us; }
+    void drop(std::uint16_t port) { dropped_ports_.insert(port); }
+    void restore(std::uint16_t port) { dropped_ports_.erase(port); }
+    void shift(std::uint16_t port, std::int64_t by_us) { time_shifts_us_[port] = by_us; }
 
     void frame(std::int64_t time_ns, std::string_view bytes, std::uint32_t) override {
         pcap::Segment s;
         pcap::decode(kEthernet, time_ns / 1000, bytes, s);
         const auto port = s.from.port == server_port_ ? s.to.port : s.from.port;
-        if (silent_.count(port)) return;
-        if (const auto by = shifted_.find(port); by != shifted_.end()) time_ns += by->second * 1000;
+        if (dropped_ports_.count(port)) return;
+        if (const auto by = time_shifts_us_.find(port); by != time_shifts_us_.end())
+            time_ns += by->second * 1000;
         const auto before = std::exchange(last_ns_, time_ns);
-        if (!damage_ || (s.payload.empty() && !held_)) return out_.frame(time_ns, bytes, 0);
+        if (!damage_ || (s.payload.empty() && !delayed_frame_)) return out_.frame(time_ns, bytes, 0);
         last_ns_ = before;
-        strike(time_ns, bytes, s, port);
+        apply_damage(time_ns, bytes, s, port);
     }
 
 private:
     void cut(std::int64_t time_ns, pcap::Segment s, std::uint16_t port, std::size_t keep) {
         s.payload = s.payload.substr(0, keep);
         if (!s.payload.empty()) out_.frame(time_ns, pcap::build(s), 0);
-        silence(port);
+        drop(port);
     }
-    void strike(std::int64_t time_ns, std::string_view bytes, const pcap::Segment& s, std::uint16_t port) {
-        const int nth = payloads_++;
-        const auto plain = [&] { out_.frame(time_ns, bytes, 0); };
+    void apply_damage(std::int64_t time_ns, std::string_view bytes, const pcap::Segment& s,
+                      std::uint16_t port) {
+        const int payload_index = payloads_++;
+        const auto pass_on = [&] { out_.frame(time_ns, bytes, 0); };
         switch (*damage_) {
             case Damage::cut_tail:
             case Damage::cut_answer:
@@ -104,15 +107,15 @@
             case Damage::cut_answer_length:
                 return cut(time_ns, s, port, 3);
             case Damage::cut_value:
-                return nth == 1 ? cut(time_ns, s, port, s.payload.size() / 2) : plain();
+                return payload_index == 1 ? cut(time_ns, s, port, s.payload.size() / 2) : pass_on();
             case Damage::hole:
             case Damage::hole_answer:
-                return nth == 0 ? void() : plain();
+                return payload_index == 0 ? void() : pass_on();
             case Damage::retransmit:
-                plain();
-                return plain();
+                pass_on();
+                return pass_on();
             case Damage::retransmit_other: {
-                plain();
+                pass_on();
                 std::string other(s.payload);
                 other.back() = static_cast<char>(other.back() ^ 0x55);
                 auto again = s;
@@ -120,7 +123,7 @@
                 return out_.frame(time_ns, pcap::build(again), 0);
             }
             case Damage::overlap: {
-                plain();
+                pass_on();
                 auto again = s;
                 const auto half = s.payload.size() / 2;
                 again.payload = s.payload.substr(half);
@@ -128,45 +131,47 @@
                 return out_.frame(time_ns, pcap::build(again), 0);
             }
             case Damage::reorder:
-                if (!held_ && nth == 0) {
-                    held_ = std::string(bytes);
+                if (!delayed_frame_ && payload_index == 0) {
+                    delayed_frame_ = std::string(bytes);
                     return;
                 }
-                plain();
-                if (held_) out_.frame(time_ns, *held_, 0);
-                return held_.reset();
+                pass_on();
+                if (delayed_frame_) out_.frame(time_ns, *delayed_frame_, 0);
+                return delayed_frame_.reset();
             case Damage::backwards_1us:
-                return out_.frame(nth == 0 ? last_ns_ - 1000 : time_ns, bytes, 0);
+                return out_.frame(payload_index == 0 ? last_ns_ - 1000 : time_ns, bytes, 0);
             case Damage::backwards_2s:
-                return out_.frame(nth == 0 ? last_ns_ - kTwoSeconds * 1000 : time_ns, bytes, 0);
+                return out_.frame(payload_index == 0 ? last_ns_ - kTwoSecondsUs * 1000 : time_ns, bytes, 0);
             case Damage::snap:
-                if (nth > 0) return plain();
+                if (payload_index > 0) return pass_on();
                 return out_.frame(time_ns, bytes.substr(0, bytes.size() - s.payload.size() / 2),
                                   static_cast<std::uint32_t>(bytes.size()));
             default:
-                return plain();
+                return pass_on();
         }
     }
     pcap::Sink& out_;
     std::uint16_t server_port_;
     std::optional<Damage> damage_;
     int payloads_ = 0;
-    std::int64_t last_ns_ = 0;  // time of the packet before this one
-    std::optional<std::string> held_;
-    std::set<std::uint16_t> silent_;
-    std::map<std::uint16_t, std::int64_t> shifted_;
+    std::int64_t last_ns_ = 0;  // time of the previous frame
+    std::optional<std::string> delayed_frame_;
+    std::set<std::uint16_t> dropped_ports_;
+    std::map<std::uint16_t, std::int64_t> time_shifts_us_;
 };
 
-bool of_answer(Damage d) {
+bool damages_response(Damage d) {
     return d == Damage::cut_answer || d == Damage::cut_answer_length || d == Damage::cut_value ||
            d == Damage::hole_answer || d == Damage::reorder || d == Damage::snap;
 }
-bool of_file(Damage d) { return d == Damage::vlans || d == Damage::truncate; }
-bool wants_large(Damage d) { return d == Damage::cut_value || d == Damage::reorder || d == Damage::snap; }
+bool damages_file(Damage d) { return d == Damage::vlans || d == Damage::truncate; }
+bool needs_large_value(Damage d) {
+    return d == Damage::cut_value || d == Damage::reorder || d == Damage::snap;
+}
 
-// How a dialect's conversation looks on the wire.
-struct Form {
-    std::uint16_t port = 0;  // of the server
+// The messages of a dialect.
+struct Protocol {
+    std::uint16_t port = 0;  // server port
     std::vector<std::pair<Side, std::string>> opening;
     std::string (*request)(const Request&) = nullptr;
     std::string (*answer)(std::string_view value, bool write) = nullptr;
@@ -178,8 +183,8 @@
     return out;
 }
 
-Form form_of(const std::string& dialect) {
-    Form out;
+Protocol protocol_for(const std::string& dialect) {
+    Protocol out;
     if (dialect == "postgres") {
         std::string up, greeting;
         pgwire::Builder(up).startup_message("portal", "crm");
@@ -220,8 +225,8 @@
     return out;
 }
 
-// A code whose value is beyond what fits one packet by far.
-const std::string& large_code() {
+// Returns a code whose value is much larger than a packet.
+const std::string& code_with_large_value() {
     static const std::string code = [] {
         for (std::uint64_t i = 1;; ++i)
             if (auto c = hex16(i); stored_value(c).size() > 50'000) return c;
@@ -229,33 +234,33 @@
     return code;
 }
 
-class Maker {
+class RecordingMaker {
 public:
-    Maker(const MakeSettings& settings, pcap::Sink& out)
+    RecordingMaker(const MakeSettings& settings, pcap::Sink& out)
         : settings_(settings),
-          form_(form_of(settings.dialect)),
-          strike_(out, form_.port),
-          drawing_(settings.seed, settings.groups),
-          writer_(tagged(settings), strike_) {
+          protocol_(protocol_for(settings.dialect)),
+          damage_sink_(out, protocol_.port),
+          generator_(settings.seed, settings.groups),
+          writer_(writer_settings(settings), damage_sink_) {
         for (const auto d : settings.damage)
-            if (!of_file(d)) plans_.push_back(d);
+            if (!damages_file(d)) pending_damage_.push_back(d);
     }
     RecordingReport run() {
-        auto& random = drawing_.random();
+        auto& random = generator_.random();
         double at = 0;
         const auto end = settings_.begins_us + settings_.length_us;
         for (;;) {
             at += random.exponential(1e6 / settings_.rate);
             const auto now = settings_.begins_us + static_cast<std::int64_t>(at);
             if (now >= end) break;
-            play(now);
-            ask(now);
+            run_events(now);
+            add_request(now);
         }
-        play(end + kTwoSeconds);
+        run_events(end + kTwoSecondsUs);
         for (auto& c : connections_)
-            if (c.open) writer_.finish(c.number, Side::client, last_);
-        made_.unapplied_damage.assign(plans_.begin(), plans_.end());
-        return made_;
+            if (c.open) writer_.finish(c.number, Side::client, latest_us_);
+        report_.unapplied_damage.assign(pending_damage_.begin(), pending_damage_.end());
+        return report_;
     }
 
 private:
@@ -263,11 +268,11 @@
         std::uint64_t number = 0;
         std::uint16_t port = 0;
         std::int64_t free_at = 0;
-        std::uint32_t asked = 0;
-        std::optional<Damage> plan;
+        std::uint32_t requests = 0;
+        std::optional<Damage> planned_damage;
         bool open = true;
     };
-    static writer::Settings tagged(const MakeSettings& s) {
+    static writer::Settings writer_settings(const MakeSettings& s) {
         writer::Settings out;
         out.seed = s.seed;
         if (std::find(s.damage.begin(), s.damage.end(), Damage::vlans) != s.damage.end()) {
@@ -276,14 +281,14 @@
         }
         return out;
     }
-    void at(std::int64_t when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
-    void play(std::int64_t until) {
+    void schedule(std::int64_t when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
+    void run_events(std::int64_t until) {
         while (!events_.empty() && events_.begin()->first <= until) {
             auto node = events_.extract(events_.begin());
-            last_ = std::max(last_, node.key());
+            latest_us_ = std::max(latest_us_, node.key());
             node.mapped()();
         }
-        last_ = std::max(last_, until);
+        latest_us_ = std::max(latest_us_, until);
     }
     pcap::Endpoint address(std::uint8_t last, std::uint16_t port) const {
         pcap::Endpoint e;
@@ -291,38 +296,39 @@
         e.port = port;
         return e;
     }
-    Connection& open(std::int64_t now) {
+    Connection& open_connection(std::int64_t now) {
         auto& c = connections_.emplace_back();
-        c.number = ++made_.connections;
-        if (!plans_.empty() && c.number > 1) {
-            c.plan = plans_.front();
-            plans_.pop_front();
+        c.number = ++report_.connections;
+        if (!pending_damage_.empty() && c.number > 1) {
+            c.planned_damage = pending_damage_.front();
+            pending_damage_.pop_front();
         }
-        const bool again = c.plan == Damage::port_reuse && free_port_;
-        c.port = again ? *free_port_ : next_port();
-        used_.insert(c.port);
-        if (c.plan == Damage::port_reuse && !again) {
-            plans_.push_back(*c.plan);  // no port has been used before
-            c.plan.reset();
+        const bool again = c.planned_damage == Damage::port_reuse && closed_port_;
+        c.port = again ? *closed_port_ : next_port();
+        used_ports_.insert(c.port);
+        if (c.planned_damage == Damage::port_reuse && !again) {
+            pending_damage_.push_back(*c.planned_damage);  // no connection has closed yet
+            c.planned_damage.reset();
         }
-        strike_.speak(c.port);
-        if (c.plan == Damage::backwards_stream) strike_.shift(c.port, -kTwoSeconds);
-        if (c.plan == Damage::wrap) writer_.set_first_sequence(kNearWrap, kNearWrap);
-        if (c.plan == Damage::half_open) {
+        damage_sink_.restore(c.port);
+        if (c.planned_damage == Damage::backwards_stream) damage_sink_.shift(c.port, -kTwoSecondsUs);
+        if (c.planned_damage == Damage::wrap)
+            writer_.set_first_sequence(kFirstSequenceNearWrap, kFirstSequenceNearWrap);
+        if (c.planned_damage == Damage::half_open) {
             pcap::Segment syn;
             syn.from = address(9, next_port());
-            syn.to = address(4, form_.port);
+            syn.to = address(4, protocol_.port);
             syn.flags = pcap::flag::syn;
-            strike_.frame(now * 1000, pcap::build(syn), 0);
+            damage_sink_.frame(now * 1000, pcap::build(syn), 0);
         }
-        if (c.plan == Damage::cut_head) {
-            strike_.silence(c.port);
-            cut_heads_.insert(c.number);
+        if (c.planned_damage == Damage::cut_head) {
+            damage_sink_.drop(c.port);
+            connections_without_head_.insert(c.number);
         }
-        writer_.open(c.number, address(2, c.port), address(4, form_.port), now);
+        writer_.open(c.number, address(2, c.port), address(4, protocol_.port), now);
         auto when = now;
-        for (const auto& [side, bytes] : form_.opening) {
-            at(when, [this, number = c.number, side = side, bytes = bytes, when] {
+        for (const auto& [side, bytes] : protocol_.opening) {
+            schedule(when, [this, number = c.number, side = side, bytes = bytes, when] {
                 writer_.data(number, side, bytes, when);
             });
             when += 50;
@@ -331,97 +337,98 @@
         return c;
     }
     std::uint16_t next_port() {
-        do port_ = port_ >= kLastPort ? kFirstPort : static_cast<std::uint16_t>(port_ + 1);
-        while (!used_.insert(port_).second);
-        return port_;
+        do last_port_ = last_port_ >= kLastPort ? kFirstPort : static_cast<std::uint16_t>(last_port_ + 1);
+        while (!used_ports_.insert(last_port_).second);
+        return last_port_;
     }
-    // The connection that was free first keeps the others idle, so that some of them close.
-    Connection& free_one(std::int64_t now) {
-        if (connections_.size() < settings_.clients) return open(now);
-        // Many clients: each in its turn, so that none stands idle for longer than it must.
+    // Returns a free connection. Prefers the oldest one, so that others stay idle and close.
+    Connection& free_connection(std::int64_t now) {
+        if (connections_.size() < settings_.clients) return open_connection(now);
+        // With a minimum of open connections, uses them in turn, so that none is idle for long.
         if (settings_.clients > 0)
             connections_.splice(connections_.end(), connections_, connections_.begin());
         for (auto& c : connections_) {
             if (!c.open || c.free_at > now) continue;
-            if (now - c.free_at > kIdle) {
+            if (now - c.free_at > kClientIdleTimeoutUs) {
                 writer_.finish(c.number, Side::client, now);
-                free_port_ = c.port;
-                used_.erase(c.port);
+                closed_port_ = c.port;
+                used_ports_.erase(c.port);
                 c.open = false;
                 continue;
             }
             return c;
         }
         connections_.remove_if([](auto& c) { return !c.open; });
-        return open(now);
+        return open_connection(now);
     }
-    void ask(std::int64_t now) {
-        auto q = drawing_.next();
-        auto& c = free_one(now);
+    void add_request(std::int64_t now) {
+        auto q = generator_.next();
+        auto& c = free_connection(now);
         auto when = std::max(now, c.free_at);
-        std::optional<Damage> struck;
-        if (c.plan && c.asked == kStruck) struck = std::exchange(c.plan, std::nullopt);
-        if (struck && (wants_large(*struck) || *struck == Damage::lost_answer)) {
-            while ((q.request_class == 2) != (*struck == Damage::lost_answer)) q = drawing_.next();
-            if (wants_large(*struck)) q.code = large_code();
+        std::optional<Damage> damage;
+        if (c.planned_damage && c.requests == kDamagedRequest)
+            damage = std::exchange(c.planned_damage, std::nullopt);
+        if (damage && (needs_large_value(*damage) || *damage == Damage::lost_answer)) {
+            while ((q.request_class == 2) != (*damage == Damage::lost_answer)) q = generator_.next();
+            if (needs_large_value(*damage)) q.code = code_with_large_value();
         }
-        exchange(c, q, when, struck);
-        if (struck != Damage::two_ids) return;
-        auto& other = open(when);
-        // The same id, asked while the first is still open, on another connection.
+        add_exchange(c, q, when, damage);
+        if (damage != Damage::two_ids) return;
+        auto& other = open_connection(when);
+        // The same id on another connection, while the first request is still open.
         auto twin = q;
-        if (!twin.key.empty()) twin.key = hex16(drawing_.random().next());
-        exchange(other, twin, when + 300, std::nullopt);
+        if (!twin.key.empty()) twin.key = hex16(generator_.random().next());
+        add_exchange(other, twin, when + 300, std::nullopt);
     }
-    void exchange(Connection& c, const Request& q, std::int64_t when, std::optional<Damage> struck) {
-        ++made_.requests;
-        ++c.asked;
-        auto& random = drawing_.random();
+    void add_exchange(Connection& c, const Request& q, std::int64_t when, std::optional<Damage> damage) {
+        ++report_.requests;
+        ++c.requests;
+        auto& random = generator_.random();
         const auto takes =
             1000 + static_cast<std::int64_t>(random.exponential(q.request_class == 2 ? 25'000 : 9'000));
         const auto number = c.number;
         const auto port = c.port;
         c.free_at = when + takes + random.between(500, 4000);
-        const auto request = form_.request(q);
+        const auto request = protocol_.request(q);
         const bool write = kClasses[q.request_class].write;
-        const auto answer = form_.answer(write ? q.data : stored_value(q.code), write);
-        if (struck == Damage::cut_head) struck.reset();
-        at(when, [this, number, port, request, struck, when] {
-            const bool mine = struck && !of_answer(*struck);
-            strike_.arm(mine ? struck : std::nullopt);
+        const auto answer = protocol_.answer(write ? q.data : stored_value(q.code), write);
+        if (damage == Damage::cut_head) damage.reset();
+        schedule(when, [this, number, port, request, damage, when] {
+            const bool mine = damage && !damages_response(*damage);
+            damage_sink_.arm(mine ? damage : std::nullopt);
             writer_.data(number, Side::client, request, when);
-            strike_.arm(std::nullopt);
-            if (struck == Damage::lost_answer) strike_.silence(port);
+            damage_sink_.arm(std::nullopt);
+            if (damage == Damage::lost_answer) damage_sink_.drop(port);
         });
-        if (struck == Damage::rst) {
+        if (damage == Damage::rst) {
             c.open = false;
-            used_.erase(port);
-            at(when + 200, [this, number, when] { writer_.reset(number, Side::server, when + 200); });
+            used_ports_.erase(port);
+            schedule(when + 200, [this, number, when] { writer_.reset(number, Side::server, when + 200); });
         }
-        at(when + takes, [this, number, answer, struck, when, takes] {
-            strike_.arm(struck && of_answer(*struck) ? struck : std::nullopt);
+        schedule(when + takes, [this, number, answer, damage, when, takes] {
+            damage_sink_.arm(damage && damages_response(*damage) ? damage : std::nullopt);
             writer_.data(number, Side::server, answer, when + takes);
-            strike_.arm(std::nullopt);
+            damage_sink_.arm(std::nullopt);
         });
-        // A stream that is silent from its head speaks up behind its third answer: the file begins there.
-        if (c.asked == kStruck + 1 && cut_heads_.count(number))
-            at(when + takes, [this, port] { strike_.speak(port); });
+        // A connection without its head is captured from the end of its third response on.
+        if (c.requests == kDamagedRequest + 1 && connections_without_head_.count(number))
+            schedule(when + takes, [this, port] { damage_sink_.restore(port); });
     }
 
     MakeSettings settings_;
-    Form form_;
-    Striker strike_;
-    Drawing drawing_;
+    Protocol protocol_;
+    DamageSink damage_sink_;
+    RequestGenerator generator_;
     writer::Writer writer_;
-    std::deque<Damage> plans_;
+    std::deque<Damage> pending_damage_;
     std::list<Connection> connections_;
     std::multimap<std::int64_t, std::function<void()>> events_;
-    std::set<std::uint64_t> cut_heads_;
-    std::set<std::uint16_t> used_;  // ports of open connections
-    std::optional<std::uint16_t> free_port_;
-    std::uint16_t port_ = kFirstPort;
-    std::int64_t last_ = 0;
-    RecordingReport made_;
+    std::set<std::uint64_t> connections_without_head_;
+    std::set<std::uint16_t> used_ports_;  // ports of open connections
+    std::optional<std::uint16_t> closed_port_;
+    std::uint16_t last_port_ = kFirstPort;
+    std::int64_t latest_us_ = 0;
+    RecordingReport report_;
 };
 
 }  // namespace
@@ -442,8 +449,8 @@
             const auto digits = word.substr(star + 1);
             const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), count);
             if (error != std::errc() || end != digits.data() + digits.size() || count < 1 ||
-                count > kMostOfOne)
-                throw std::invalid_argument("\"" + word + "\": how often must lie between 1 and 10000");
+                count > kMaxDamageCount)
+                throw std::invalid_argument("\"" + word + "\": the count must be between 1 and 10000");
         }
         out.insert(out.end(), static_cast<std::size_t>(count), found->second);
         from = comma + 1;
@@ -458,7 +465,7 @@
 }
 
 RecordingReport make(const MakeSettings& settings, sloestack::pcap::Sink& out) {
-    return Maker(settings, out).run();
+    return RecordingMaker(settings, out).run();
 }
 
 }  // namespace emulator
--- a/tests/emulator/emulator_test.cpp
+++ b/tests/emulator/emulator_test.cpp
@@ -1,5 +1,6 @@
-// The stand-ins' pure parts: the bank, the checker of the rules, the script. A checker that cannot find a
-// broken rule is priority_weight nothing, so each rule is broken once.
+// Tests of the parts of the emulators that do no I/O: the replica group model, the checker, scripts, pipes
+// and statements. Every rule of the checker is violated once, so that a checker that misses a violation
+// fails.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -19,56 +20,56 @@
 constexpr Time kNow = 1'000'000'000;
 
 TEST(ReplicaGroupModel, ReplicasLagAndCatchUp) {
-    ReplicaGroupModel bank({}, kNow);
-    EXPECT_EQ(bank.position(0, kNow), kNow);
-    EXPECT_EQ(bank.position(1, kNow + 100'000), kNow + 100'000 - 8'000);
-    bank.slow_apply(1, 10, kNow + 1'100'000, kNow + 100'000);
-    EXPECT_EQ(bank.position(1, kNow + 1'100'000), kNow + 92'000 + 100'000);
-    EXPECT_LT(bank.position(1, kNow + 1'500'000), kNow + 1'500'000 - 8'000);
-    EXPECT_EQ(bank.position(1, kNow + 3'000'000), kNow + 3'000'000 - 8'000);
+    ReplicaGroupModel group({}, kNow);
+    EXPECT_EQ(group.position(0, kNow), kNow);
+    EXPECT_EQ(group.position(1, kNow + 100'000), kNow + 100'000 - 8'000);
+    group.slow_apply(1, 10, kNow + 1'100'000, kNow + 100'000);
+    EXPECT_EQ(group.position(1, kNow + 1'100'000), kNow + 92'000 + 100'000);
+    EXPECT_LT(group.position(1, kNow + 1'500'000), kNow + 1'500'000 - 8'000);
+    EXPECT_EQ(group.position(1, kNow + 3'000'000), kNow + 3'000'000 - 8'000);
 }
 
 TEST(ReplicaGroupModel, ElectsTheReplicaWithTheHighestPositionAfterThePrimaryIsLost) {
-    ReplicaGroupModel bank({}, kNow);
-    bank.slow_apply(1, 10, kNow + 10'000'000, kNow);
-    bank.mark_down(0, kNow + 1'000'000);
-    EXPECT_EQ(bank.primary(kNow + 1'000'000), -1);
-    EXPECT_EQ(bank.primary(kNow + 4'600'000), -1);
-    EXPECT_EQ(bank.primary(kNow + 4'700'000), 2);
-    bank.mark_up(0, kNow + 5'000'000);
-    EXPECT_EQ(bank.primary(kNow + 5'000'000), 2);
-    EXPECT_GE(bank.position(0, kNow + 9'000'000), kNow + 8'000'000);
+    ReplicaGroupModel group({}, kNow);
+    group.slow_apply(1, 10, kNow + 10'000'000, kNow);
+    group.mark_down(0, kNow + 1'000'000);
+    EXPECT_EQ(group.primary(kNow + 1'000'000), -1);
+    EXPECT_EQ(group.primary(kNow + 4'600'000), -1);
+    EXPECT_EQ(group.primary(kNow + 4'700'000), 2);
+    group.mark_up(0, kNow + 5'000'000);
+    EXPECT_EQ(group.primary(kNow + 5'000'000), 2);
+    EXPECT_GE(group.position(0, kNow + 9'000'000), kNow + 8'000'000);
 }
 
 TEST(ReplicaGroupModel, PositionsNeverDecrease) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         Random random(seed);
-        ReplicaGroupModel bank({}, kNow);
+        ReplicaGroupModel group({}, kNow);
         Time last[3] = {0, 0, 0}, now = kNow;
         for (int i = 0; i < 300; ++i) {
             now += random.between(0, 100'000);
             const int m = static_cast<int>(random.between(0, 2));
             switch (random.between(0, 6)) {
                 case 0:
-                    bank.mark_down(m, now);
+                    group.mark_down(m, now);
                     break;
                 case 1:
-                    bank.mark_up(m, now);
+                    group.mark_up(m, now);
                     break;
                 case 2:
-                    bank.drain(m, now);
+                    group.drain(m, now);
                     break;
                 case 3:
-                    bank.end_drain(m);
+                    group.end_drain(m);
                     break;
                 case 4:
-                    bank.slow_apply(m, 5, now + 500'000, now);
+                    group.slow_apply(m, 5, now + 500'000, now);
                     break;
                 default:
-                    bank.primary(now);
+                    group.primary(now);
             }
             for (int k = 0; k < 3; ++k) {
-                const auto at = bank.position(k, now);
+                const auto at = group.position(k, now);
                 ASSERT_GE(at, last[k]) << "seed " << seed;
                 ASSERT_LE(at, now);
                 last[k] = at;
@@ -78,15 +79,15 @@
 }
 
 TEST(ReplicaGroupModel, DropsADuplicateWriteWithinTheWindowOnly) {
-    ReplicaGroupModel bank({}, kNow);
-    EXPECT_TRUE(bank.write("k", "first", kNow).ran);
-    const auto again = bank.write("k", "second", kNow + 4'900'000);
+    ReplicaGroupModel group({}, kNow);
+    EXPECT_TRUE(group.write("k", "first", kNow).ran);
+    const auto again = group.write("k", "second", kNow + 4'900'000);
     EXPECT_FALSE(again.ran);
     EXPECT_EQ(again.value, "first");
-    EXPECT_TRUE(bank.write("k", "third", kNow + 5'100'000).ran);
+    EXPECT_TRUE(group.write("k", "third", kNow + 5'100'000).ran);
 }
 
-// Events as the stand-ins record them, of proxy 0 where nothing else is said.
+// Events as the emulators record them, of proxy 0 by default.
 Event event(What what, const std::string& id, Time at = kNow) {
     Event e;
     e.what = what;
@@ -127,111 +128,114 @@
     e.word = word;
     return e;
 }
-std::vector<std::string> judged(const std::vector<Event>& events) {
+std::vector<std::string> violations(const std::vector<Event>& events) {
     Checker c({});
     for (const auto& e : events) c.saw(e);
     return c.broken();
 }
-bool says(const std::vector<Event>& events, const std::string& part) {
-    const auto broken = judged(events);
+bool has_violation(const std::vector<Event>& events, const std::string& part) {
+    const auto broken = violations(events);
     return broken.size() == 1 && broken[0].find(part) != std::string::npos;
 }
 
-TEST(Checker, FindsNothingWhereRulesAreKept) {
-    EXPECT_TRUE(judged({ask("1"), of_member(What::arrived, 0, 0, kNow, "1"), run("1"),
-                        answer("1", "served", 7), ask("2"), answer("2", "refused")})
+TEST(Checker, ReportsNothingIfNoRuleIsBroken) {
+    EXPECT_TRUE(violations({ask("1"), of_member(What::arrived, 0, 0, kNow, "1"), run("1"),
+                            answer("1", "served", 7), ask("2"), answer("2", "refused")})
                     .empty());
 }
 
-TEST(Checker, EachRequestIsAnsweredOnce) {
-    EXPECT_TRUE(says({ask("1")}, "never answered"));
-    EXPECT_TRUE(says({ask("1"), answer("1", "none")}, "never answered"));
-    EXPECT_TRUE(judged({answer("1", "unsent"), ask("1"), answer("1", "failed")}).empty());
-    EXPECT_TRUE(says({ask("1"), answer("1", "failed"), answer("1", "failed")}, "answered twice"));
-    // Two clients with one id.
-    EXPECT_TRUE(judged({ask("1"), ask("1"), answer("1", "failed"), answer("1", "failed")}).empty());
-    EXPECT_TRUE(says({ask("1"), run("1"), answer("1", "served", 8)}, "no member made"));
-    // Late by half a second is lost.
-    EXPECT_TRUE(judged({ask("1"), answer("1", "failed", 0, kNow + 1'100'000)}).empty());
-    EXPECT_TRUE(says({ask("1"), answer("1", "failed", 0, kNow + 1'100'001)}, "too late"));
+TEST(Checker, RequiresExactlyOneTimelyResponse) {
+    EXPECT_TRUE(has_violation({ask("1")}, "never answered"));
+    EXPECT_TRUE(has_violation({ask("1"), answer("1", "none")}, "never answered"));
+    EXPECT_TRUE(violations({answer("1", "unsent"), ask("1"), answer("1", "failed")}).empty());
+    EXPECT_TRUE(has_violation({ask("1"), answer("1", "failed"), answer("1", "failed")}, "answered twice"));
+    // Two clients use the same id.
+    EXPECT_TRUE(violations({ask("1"), ask("1"), answer("1", "failed"), answer("1", "failed")}).empty());
+    EXPECT_TRUE(has_violation({ask("1"), run("1"), answer("1", "served", 8)}, "no member made"));
+    // A response more than 500 ms after the deadline is too late.
+    EXPECT_TRUE(violations({ask("1"), answer("1", "failed", 0, kNow + 1'100'000)}).empty());
+    EXPECT_TRUE(has_violation({ask("1"), answer("1", "failed", 0, kNow + 1'100'001)}, "too late"));
 }
 
-// A proxy may close a connection between requests; which it had taken is told by its having been sent on.
-TEST(Checker, ACloseMayCrossARequestThatWasNotTaken) {
+// A proxy may close an idle connection while a request is on its way, but not after it has accepted the
+// request, which an attempt at an endpoint proves.
+TEST(Checker, AllowsACloseOnlyBeforeTheRequestWasForwarded) {
     auto again = ask("1", kNow + 1'000);
     again.word = "again";
     const auto sent_on = of_member(What::arrived, 0, 0, kNow, "1");
-    EXPECT_TRUE(judged({ask("1"), again, run("1"), answer("1", "served", 7)}).empty());
-    EXPECT_TRUE(judged({ask("1"), again, sent_on, run("1"), answer("1", "served", 7)}).empty());
+    EXPECT_TRUE(violations({ask("1"), again, run("1"), answer("1", "served", 7)}).empty());
+    EXPECT_TRUE(violations({ask("1"), again, sent_on, run("1"), answer("1", "served", 7)}).empty());
+    EXPECT_TRUE(has_violation({ask("1"), sent_on, again, run("1"), answer("1", "served", 7)},
+                              "its connection closed"));
+    EXPECT_TRUE(has_violation({ask("1"), again}, "never answered"));
+    EXPECT_TRUE(violations({ask("1"), answer("1", "unsent")}).empty());
+    EXPECT_FALSE(violations({ask("1"), sent_on, answer("1", "unsent")}).empty());
     EXPECT_TRUE(
-        says({ask("1"), sent_on, again, run("1"), answer("1", "served", 7)}, "its connection closed"));
-    EXPECT_TRUE(says({ask("1"), again}, "never answered"));
-    EXPECT_TRUE(judged({ask("1"), answer("1", "unsent")}).empty());
-    EXPECT_FALSE(judged({ask("1"), sent_on, answer("1", "unsent")}).empty());
-    EXPECT_TRUE(says({ask("1"), again, answer("1", "failed"), answer("1", "failed")}, "answered twice"));
-    EXPECT_TRUE(judged({ask("1"), sent_on, process(0, "killed", kNow + 500), again}).empty());
+        has_violation({ask("1"), again, answer("1", "failed"), answer("1", "failed")}, "answered twice"));
+    EXPECT_TRUE(violations({ask("1"), sent_on, process(0, "killed", kNow + 500), again}).empty());
 }
 
-TEST(Checker, ExcusesWhatAProxyCannotAnswer) {
-    EXPECT_TRUE(judged({ask("1"), process(0, "killed", kNow + 100'000)}).empty());
+TEST(Checker, ExcusesRequestsOfAnUnavailableProxy) {
+    EXPECT_TRUE(violations({ask("1"), process(0, "killed", kNow + 100'000)}).empty());
     EXPECT_TRUE(
-        judged({ask("1"), process(0, "stopped", kNow + 1'000), process(0, "continued", kNow + 3'000'000),
-                answer("1", "failed", 0, kNow + 3'001'000)})
+        violations({ask("1"), process(0, "stopped", kNow + 1'000), process(0, "continued", kNow + 3'000'000),
+                    answer("1", "failed", 0, kNow + 3'001'000)})
             .empty());
-    // Another proxy's death, one long before, one long after: no excuse.
-    EXPECT_TRUE(says({ask("1"), process(1, "killed", kNow + 100'000)}, "never answered"));
-    EXPECT_TRUE(says({process(0, "killed", kNow - 9), process(0, "started", kNow - 2), ask("1")}, "never"));
-    EXPECT_TRUE(says({ask("1"), process(0, "killed", kNow + 9'000'000)}, "never answered"));
-    EXPECT_TRUE(says({process(3, "crashed", kNow)}, "proxy 3 crashed"));
+    // An outage of another proxy, or one that ended before or began long after, is no excuse.
+    EXPECT_TRUE(has_violation({ask("1"), process(1, "killed", kNow + 100'000)}, "never answered"));
+    EXPECT_TRUE(
+        has_violation({process(0, "killed", kNow - 9), process(0, "started", kNow - 2), ask("1")}, "never"));
+    EXPECT_TRUE(has_violation({ask("1"), process(0, "killed", kNow + 9'000'000)}, "never answered"));
+    EXPECT_TRUE(has_violation({process(3, "crashed", kNow)}, "proxy 3 crashed"));
 }
 
-TEST(Checker, AWriteRunsOnceAndARequestIsSentTenTimesAtMost) {
+TEST(Checker, LimitsExecutionsOfAWriteAndAttemptsOfARequest) {
     auto repeat = run("2", "k");
     repeat.what = What::repeated;
-    EXPECT_TRUE(judged({run("1", "k"), repeat}).empty());
-    EXPECT_TRUE(says({run("1", "k"), repeat, run("3", "k")}, "ran twice"));
+    EXPECT_TRUE(violations({run("1", "k"), repeat}).empty());
+    EXPECT_TRUE(has_violation({run("1", "k"), repeat, run("3", "k")}, "ran twice"));
     std::vector<Event> events = {ask("1")};
     for (int i = 0; i < 10; ++i) events.push_back(of_member(What::arrived, 0, i, kNow, "1"));
     events.push_back(answer("1", "failed"));
-    EXPECT_TRUE(judged(events).empty());
+    EXPECT_TRUE(violations(events).empty());
     events.push_back(of_member(What::arrived, 0, 10, kNow, "1"));
-    EXPECT_TRUE(says(events, "sent 11 times"));
+    EXPECT_TRUE(has_violation(events, "sent 11 times"));
 }
 
-TEST(Checker, ADrainBindsEachProxyFromWhenItWasTold) {
+TEST(Checker, AppliesADrainToEachProxyFromItsNotification) {
     const auto drain = of_member(What::drain, 0, 4, kNow);
     const auto sent = [](int proxy, Time after) {
         return of_member(What::arrived, proxy, 4, kNow + after, "1");
     };
-    EXPECT_TRUE(judged({drain, sent(0, 300'000)}).empty());
-    EXPECT_TRUE(says({drain, sent(0, 300'001)}, "after its drain was told"));
-    EXPECT_TRUE(judged({drain, sent(1, 900'000)}).empty());  // not told yet
-    EXPECT_TRUE(judged({drain, of_member(What::back, 0, 4, kNow + 1), sent(0, 900'000)}).empty());
-    // A process that has started again has not been told.
-    EXPECT_TRUE(judged({drain, process(0, "started", kNow + 1), sent(0, 900'000)}).empty());
-    EXPECT_TRUE(says({drain, process(1, "started", kNow + 1), sent(0, 900'000)}, "after its drain"));
-    // Whose attempt it is can be known by the client alone.
+    EXPECT_TRUE(violations({drain, sent(0, 300'000)}).empty());
+    EXPECT_TRUE(has_violation({drain, sent(0, 300'001)}, "after its drain was told"));
+    EXPECT_TRUE(violations({drain, sent(1, 900'000)}).empty());  // this proxy has not been notified
+    EXPECT_TRUE(violations({drain, of_member(What::back, 0, 4, kNow + 1), sent(0, 900'000)}).empty());
+    // A restarted process has not been notified.
+    EXPECT_TRUE(violations({drain, process(0, "started", kNow + 1), sent(0, 900'000)}).empty());
+    EXPECT_TRUE(has_violation({drain, process(1, "started", kNow + 1), sent(0, 900'000)}, "after its drain"));
+    // If the attempt does not name its proxy, the one that the client used counts.
     auto unknown = sent(-1, 900'000);
-    EXPECT_TRUE(says({drain, ask("1", kNow, 0), unknown, answer("1", "failed")}, "after its drain"));
-    EXPECT_TRUE(judged({drain, ask("1", kNow, 1), unknown, answer("1", "failed")}).empty());
+    EXPECT_TRUE(has_violation({drain, ask("1", kNow, 0), unknown, answer("1", "failed")}, "after its drain"));
+    EXPECT_TRUE(violations({drain, ask("1", kNow, 1), unknown, answer("1", "failed")}).empty());
 }
 
-TEST(Checker, NoReadIsStaleAndNoColdMemberFalls) {
+TEST(Checker, ReportsStaleReadsAndOverloadedColdEndpoints) {
     auto old = run("1");
     old.position = kNow - 250'000;
-    EXPECT_TRUE(judged({old}).empty());
+    EXPECT_TRUE(violations({old}).empty());
     --old.position;
-    EXPECT_TRUE(says({old}, "ms old"));
-    old.request_class = 1;  // any age will do
-    EXPECT_TRUE(judged({old}).empty());
+    EXPECT_TRUE(has_violation({old}, "ms old"));
+    old.request_class = 1;  // a class without a staleness limit
+    EXPECT_TRUE(violations({old}).empty());
     old.request_class = 0;
     old.deposed = true;
-    EXPECT_TRUE(judged({old}).empty());
-    EXPECT_TRUE(says({of_member(What::fell, 0, 3, kNow)}, "pushed over"));
+    EXPECT_TRUE(violations({old}).empty());
+    EXPECT_TRUE(has_violation({of_member(What::fell, 0, 3, kNow)}, "pushed over"));
 }
 
-// A write that is answered is seen by each read of its session that is asked from then on, through any proxy.
-TEST(Checker, ASessionReadsWhatItHasWritten) {
+// After the response to a write, every later read of the session must see that write, through any proxy.
+TEST(Checker, RequiresASessionToReadItsLastWrite) {
     const auto of_session = [](Event e, int request_class, Time position = 0) {
         e.request_class = request_class;
         if (e.what == What::asked) e.key = "s";
@@ -251,25 +255,26 @@
         first.insert(first.end(), second.begin(), second.end());
         return first;
     };
-    EXPECT_TRUE(judged(both(write("w", kNow), read(kNow))).empty());
-    EXPECT_TRUE(says(both(write("w", kNow), read(kNow - 1)), "older than its last write"));
-    // The later commit counts, whichever was answered last.
-    EXPECT_TRUE(says(both(both(write("w", kNow), write("v", kNow - 500)), read(kNow - 1)), "older than"));
-    // A write that was not answered need not be seen; nor one answered after the read was asked.
+    EXPECT_TRUE(violations(both(write("w", kNow), read(kNow))).empty());
+    EXPECT_TRUE(has_violation(both(write("w", kNow), read(kNow - 1)), "older than its last write"));
+    // The later commit counts, whichever response came last.
+    EXPECT_TRUE(
+        has_violation(both(both(write("w", kNow), write("v", kNow - 500)), read(kNow - 1)), "older than"));
+    // A read need not see a write without a response, or one whose response came after the read was sent.
     auto unanswered = write("w", kNow);
     unanswered.back() = of_session(answer("w", "failed"), kWrite);
-    EXPECT_TRUE(judged(both(unanswered, read(kNow - 1))).empty());
+    EXPECT_TRUE(violations(both(unanswered, read(kNow - 1))).empty());
     auto later = read(kNow - 1);
     const auto written = write("w", kNow);
     later.insert(later.begin() + 1, written.begin(), written.end());
-    EXPECT_TRUE(judged(later).empty());
-    // A member that was the primary until just now is excused.
+    EXPECT_TRUE(violations(later).empty());
+    // A read from an endpoint that was the primary until just now is excused.
     auto deposed = read(kNow - 1);
     deposed[1].deposed = true;
-    EXPECT_TRUE(judged(both(write("w", kNow), deposed)).empty());
+    EXPECT_TRUE(violations(both(write("w", kNow), deposed)).empty());
 }
 
-TEST(Events, AreWrittenAndReadBack) {
+TEST(Event, SurvivesWritingAndParsing) {
     auto e = run("1", "k");
     e.deposed = e.last = true;
     e.word = "w";
@@ -280,7 +285,7 @@
         EXPECT_THROW(from_line(bad), std::invalid_argument) << bad;
 }
 
-TEST(Pipe, DelaysLimitsLosesAndCutsInOrder) {
+TEST(Pipe, AppliesEachConditionAndKeepsTheOrder) {
     Random random(1);
     Condition c;
     c.delay = 10;
@@ -289,7 +294,7 @@
     EXPECT_EQ(pipe.take(kNow + 9, c), "");
     EXPECT_EQ(pipe.next(c), kNow + 10);
     c.delay = 0;
-    pipe.put("c", kNow, c, random);  // does not overtake
+    pipe.put("c", kNow, c, random);  // stays behind the earlier bytes
     EXPECT_EQ(pipe.take(kNow + 9, c), "");
     c.cut = true;
     EXPECT_EQ(pipe.next(c), std::nullopt);
@@ -314,13 +319,13 @@
     EXPECT_LT(again, 600);
 }
 
-TEST(Capacity, AColdMemberRisesEvenlyAndFallsUnderTooMuch) {
+TEST(Capacity, RisesLinearlyAfterAStartAndRejectsTooMuchWork) {
     ColdSettings cold;
     cold.from = 0.25;
     cold.warm_after = 10'000'000;
     Capacity c(cold, 2);
     EXPECT_EQ(c.share(kNow), 1);
-    EXPECT_TRUE(c.accept(1000, kNow));  // warm: it has a queue, and does not fall
+    EXPECT_TRUE(c.accept(1000, kNow));  // a warm endpoint queues work and does not crash
     c.start(kNow);
     EXPECT_DOUBLE_EQ(c.share(kNow + 5'000'000), 0.625);
     // 3 x 0.25 x 2 cores x 3 s = 4.5 s of work in 3 s.
@@ -330,7 +335,7 @@
     EXPECT_FALSE(c.is_cold(kNow + 10'000'000));
 }
 
-TEST(Script, IsReadAndSaysWhatIsWrong) {
+TEST(Script, ParsesFaultsAndRejectsInvalidText) {
     const auto faults = parse_script("crash@10:m1.2/3,restart@2/1.5", 2, 3);
     ASSERT_EQ(faults.size(), 2u);
     EXPECT_EQ(to_text(faults[0]), "restart@2/1.5");
@@ -344,7 +349,7 @@
               to_text(draw_script(3, 5, 60'000'000, 2, 3)[4]));
 }
 
-TEST(Values, StatementsAndValuesAgree) {
+TEST(Values, ParsesBackItsStatementsAndRepeatsItsValues) {
     Request q;
     q.request_class = 2;
     q.id = "1";
