--- a/emulator/edge.h
+++ b/emulator/edge.h
@@ -34,7 +34,7 @@
 // The bytes in flight in one direction, in order. Does no I/O.
 class Pipe {
 public:
-    static constexpr Micros kRetransmissionTimeout = 200'000;  // TCP's least retransmission time-out (RFC
+    static constexpr Micros kRetransmissionTimeout = 200'000;  // TCP's minimum retransmission time-out (RFC
                                                                // 6298 has 1 s; kernels use 200 ms)
     void put(std::string_view bytes, Time now, const Condition& condition, Random& random);
     // Returns when the next bytes arrive; std::nullopt if none are in flight or the direction is cut.
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -317,9 +317,9 @@
         next.request.left_ms = left / 1000;
         const auto wait = std::max<std::int64_t>(random_.between(kMinBackoff, kMaxBackoff),
                                                  std::min<std::int64_t>(a.advice.value_or(0), left / 2));
-        retry_timers_.erase(std::remove_if(retry_timers_.begin(), retry_timers_.end(),
-                                           [](auto& d) { return !d->is_set(); }),
-                            retry_timers_.end());
+        retry_timers_.erase(
+            std::remove_if(retry_timers_.begin(), retry_timers_.end(), [](auto& d) { return !d->is_set(); }),
+            retry_timers_.end());
         retry_timers_.push_back(std::make_unique<sloestack::Deadline>());
         retry_timers_.back()->set(deadlines_, now + wait, [this, next] { send_request(next); });
     } else {
--- a/emulator/values.h
+++ b/emulator/values.h
@@ -30,7 +30,7 @@
 constexpr int kClassCount = 4, kRosterClasses = 3;
 constexpr int kWrite = 2, kSessionRead = 3;
 
-// SplitMix64: equal seeds give equal numbers on every platform.
+// The SplitMix64 generator: equal seeds give equal numbers.
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
