--- a/fault_harness/tally.cpp
+++ b/fault_harness/tally.cpp
@@ -78,7 +78,8 @@
             ++first->requests;
             if (e.word == "served") {
                 const auto latency = e.at - e.since;
-                if (latency <= emulator::kClasses[e.request_class].aim_us) ++first->in_objective;
+                if (latency <= emulator::kClasses[e.request_class].latency_objective_us)
+                    ++first->in_objective;
                 latencies_[static_cast<std::size_t>((e.since - start_time_) / kBinUs)].push_back(
                     static_cast<std::int32_t>(latency));
             }
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -93,9 +93,9 @@
     if (std::find(settings.damage.begin(), settings.damage.end(), emulator::Damage::truncate) !=
         settings.damage.end())
         std::filesystem::resize_file(path, std::filesystem::file_size(path) - kTruncatedBytes);
-    if (!made.not_done.empty())
+    if (!made.unapplied_damage.empty())
         throw UsageError(
-            std::to_string(made.not_done.size()) +
+            std::to_string(made.unapplied_damage.size()) +
             " faults were not applied because there were too few connections; the file was written "
             "without them. Use more --minutes or a higher --rate to get more connections");
     if (parsed->count("json"))
