--- a/bench/pcap.sh
+++ b/bench/pcap.sh
@@ -40,8 +40,8 @@
 $ctl demo --seconds 0.5 --rate 50 --stay --work 0:0 --banks 4 --members 3 >"$folder/demo" &
 demo_pid=$!
 until grep -q psql "$folder/demo"; do sleep 0.1; done
-proxy=$(sed -n 's/.*a proxy at \([0-9.:]*\) .*/\1/p' "$folder/demo")
-endpoint=$(sed -n 's/.*first member is at \([0-9.:]*\),.*/\1/p' "$folder/demo")
+proxy=$(sed -n 's/.*proxy at \([0-9.:]*\),.*/\1/p' "$folder/demo")
+endpoint=$(sed -n 's/.*first replica group is at \([0-9.:]*\),.*/\1/p' "$folder/demo")
 for rate in 200 2000 20000; do
     $ctl pcap make --minutes 0.17 --rate $rate --clients $((rate / 10)) --groups 4 -o "$folder/late-$rate.pcap" >/dev/null
 done
