--- a/bench/pcap_read.cpp
+++ b/bench/pcap_read.cpp
@@ -22,8 +22,8 @@
 
 struct CountingListener final : conversation::Listener, streams::Events {
     std::uint64_t requests = 0, bytes_seen = 0;
-    void asked(const conversation::Asked&) override { ++requests; }
-    void answered(const conversation::Answered&) override {}
+    void asked(const conversation::RequestEvent&) override { ++requests; }
+    void answered(const conversation::ResponseEvent&) override {}
     void opened(streams::StreamId, const streams::Flow&, std::int64_t) override {}
     void bytes(streams::StreamId, streams::Side, std::string_view b, std::int64_t) override {
         bytes_seen += b.size();
--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -100,7 +100,7 @@
         if (!asked_) return;
         // Never written: it has not been taken. Written: what became of it is unknown.
         if (!sent_) {
-            conversation::Answered none;
+            conversation::ResponseEvent none;
             none.kind = Kind::refused;
             got_ = none;
         } else if (!got_) {
@@ -114,8 +114,8 @@
     void greeted(conversation::ConnectionId, conversation::Time, const conversation::Digest&) override {
         if (asked_) send();
     }
-    void asked(const conversation::Asked&) override {}
-    void answered(const conversation::Answered& a) override { got_ = a; }
+    void asked(const conversation::RequestEvent&) override {}
+    void answered(const conversation::ResponseEvent& a) override { got_ = a; }
     // The time that a connection took to come up is the request's own; where it took all of it, nothing is
     // sent.
     void send() {
@@ -158,7 +158,7 @@
     Load& of_;
     int proxy_;
     std::optional<Asked> asked_;
-    std::optional<conversation::Answered> got_;
+    std::optional<conversation::ResponseEvent> got_;
     bool sent_ = false, up_ = false;
     bool kept_ = false;   // the connection has answered before
     bool heard_ = false;  // something has come since the request was sent
@@ -280,7 +280,7 @@
         if (clients[i]->line()) clients[i]->ended(sloestack::net::ConnectionEnd::error);
 }
 
-void Load::answered(int proxy, const Asked& asked, const conversation::Answered& a, bool sent) {
+void Load::answered(int proxy, const Asked& asked, const conversation::ResponseEvent& a, bool sent) {
     auto& count = counts_[asked.question.request_class];
     const auto now = deadlines_.now();
     const auto& model = kClasses[asked.question.request_class];
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -107,7 +107,8 @@
     void go(int proxy, Asked asked);
     void unreachable(int proxy);
     void reached(int proxy);
-    void answered(int proxy, const Asked& asked, const sloestack::conversation::Answered& answer, bool sent);
+    void answered(int proxy, const Asked& asked, const sloestack::conversation::ResponseEvent& answer,
+                  bool sent);
 
     sloestack::net::Loop& loop_;
     sloestack::Deadlines& deadlines_;
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -19,8 +19,8 @@
 }
 
 struct CheckingListener final : conversation::Listener {
-    void asked(const conversation::Asked& request) override { require(request.bytes.size() >= 5); }
-    void answered(const conversation::Answered&) override {}
+    void asked(const conversation::RequestEvent& request) override { require(request.bytes.size() >= 5); }
+    void answered(const conversation::ResponseEvent&) override {}
 };
 
 // Checks the order of stream events: no event before a stream is opened or after it is closed, and no bytes
@@ -55,15 +55,15 @@
     auto* file = fmemopen(const_cast<std::uint8_t*>(data), size, "rb");
     if (!file) return;
     conversation::RecordingSettings settings;
-    settings.streams.most_held = settings.streams.most_held_by_one = kMemoryLimitBytes;
-    settings.streams.most_streams = 16;
+    settings.streams.max_buffered_bytes = settings.streams.max_buffered_bytes_per_stream = kMemoryLimitBytes;
+    settings.streams.max_streams = 16;
     settings.most_unfinished = kMemoryLimitBytes;
     CheckingListener listener;
     try {
         conversation::Recording recording(file, "input", conversation::postgres(), settings, listener);
         while (recording.step()) require(recording.held() <= 2 * kMemoryLimitBytes);
         require(recording.held() == 0);
-    } catch (const pcap::BadFile&) {
+    } catch (const pcap::CaptureFileError&) {
     }
 }
 
@@ -71,9 +71,9 @@
 // bytes of the payload were captured.
 void segments(const std::uint8_t* data, std::size_t size) {
     streams::Limits limits;
-    limits.most_held = 4096;
-    limits.most_held_by_one = 2048;
-    limits.most_streams = 4;
+    limits.max_buffered_bytes = 4096;
+    limits.max_buffered_bytes_per_stream = 2048;
+    limits.max_streams = 4;
     CheckingStreamEvents events;
     streams::Streams all_streams(limits, events);
     const std::string payload(256, 'p');
@@ -90,7 +90,7 @@
         segment.length = input[10];
         segment.payload = std::string_view(payload).substr(0, std::min<std::size_t>(input[11], input[10]));
         all_streams.take(segment);
-        require(all_streams.held() <= limits.most_held && all_streams.open() <= limits.most_streams);
+        require(all_streams.held() <= limits.max_buffered_bytes && all_streams.open() <= limits.max_streams);
     }
     all_streams.finish();
     require(all_streams.held() == 0 && events.open.empty());
--- a/src/app/ctl/diff.cpp
+++ b/src/app/ctl/diff.cpp
@@ -9,9 +9,9 @@
 namespace sloestack::ctl {
 namespace {
 
-using conversation::Answered;
 using conversation::Cause;
 using conversation::Kind;
+using conversation::ResponseEvent;
 
 constexpr std::size_t kMostNamed = 1000;
 
@@ -20,7 +20,7 @@
     std::string request_class, key;
     bool repeat = false;
     std::optional<conversation::Digest> greeting;  // of its connection, on the first request of it
-    Answered answer;
+    ResponseEvent answer;
 };
 
 // All requests of one file under "id" or, where it comes again, "id#2"; those without an id by their place.
@@ -38,7 +38,7 @@
         if (const auto first = connection_first.find(c); first != connection_first.end())
             exchanges[first->second].greeting = d;
     }
-    void asked(const conversation::Asked& a) override {
+    void asked(const conversation::RequestEvent& a) override {
         auto name = a.id.empty() ? "(no id)" : std::string(a.id);
         if (const int n = ++seen[name]; n > 1) name += "#" + std::to_string(n);
         auto& e = exchanges[name];
@@ -52,7 +52,7 @@
         open[a.connection][a.number] = name;
         order.push_back(name);
     }
-    void answered(const Answered& a) override {
+    void answered(const ResponseEvent& a) override {
         auto& of = open[a.connection];
         const auto name = of.find(a.number);
         if (name == of.end()) return;
--- a/src/app/ctl/main.cpp
+++ b/src/app/ctl/main.cpp
@@ -107,7 +107,7 @@
         return run({argv + 1, argv + argc});
     } catch (const BadCall& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
-    } catch (const sloestack::pcap::BadFile& error) {
+    } catch (const sloestack::pcap::CaptureFileError& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
     } catch (const std::invalid_argument& error) {
         std::cerr << "sloestackctl: " << error.what() << "\n";
--- a/src/app/ctl/pcap.cpp
+++ b/src/app/ctl/pcap.cpp
@@ -154,8 +154,8 @@
 namespace {
 
 struct Nobody final : conversation::Listener {
-    void asked(const conversation::Asked&) override {}
-    void answered(const conversation::Answered&) override {}
+    void asked(const conversation::RequestEvent&) override {}
+    void answered(const conversation::ResponseEvent&) override {}
 };
 
 void print(const conversation::Figures& f, const std::string& fault) {
@@ -241,11 +241,11 @@
     out.path = path;
     auto& s = out.schedule;
     s.speed = parsed["speed"].as<double>();
-    s.most_per_second = parsed["rate-cap"].as<double>();
+    s.max_requests_per_second = parsed["rate-cap"].as<double>();
     if (parsed.count("stretch")) s.stretch = stretch(parsed["stretch"].as<std::string>());
     s.rounds = parsed["rounds"].as<int>();
     s.seed = parsed["seed"].as<std::uint64_t>();
-    s.most_open = parsed["most-open"].as<std::size_t>();
+    s.max_open_requests = parsed["most-open"].as<std::size_t>();
     const auto pick = [&](const char* option, const char* one, const char* other) {
         const auto said = parsed[option].as<std::string>();
         if (said != one && said != other)
--- a/src/app/ctl/play.h
+++ b/src/app/ctl/play.h
@@ -15,9 +15,9 @@
 // Where --write asks for it, the capture file that a replay writes.
 class Output {
 public:
-    explicit Output(const cxxopts::ParseResult& parsed);      // throws pcap::BadFile
+    explicit Output(const cxxopts::ParseResult& parsed);      // throws pcap::CaptureFileError
     writer::Writer* writer() const { return writer_.get(); }  // null where nothing is written
-    void close();                                             // throws pcap::BadFile
+    void close();                                             // throws pcap::CaptureFileError
 
 private:
     std::unique_ptr<pcap::File> file_;
--- a/src/app/ctl/rehearse.cpp
+++ b/src/app/ctl/rehearse.cpp
@@ -70,7 +70,7 @@
     Output output(*parsed);
     Rig rig(rig_of);
     settings.to = rig.proxy();
-    settings.checker = [&](const replay::Request& request, const conversation::Answered* answer) {
+    settings.checker = [&](const replay::Request& request, const conversation::ResponseEvent* answer) {
         if (request.id.empty()) return;
         emulator::Event e;
         e.what = answer ? emulator::What::answered : emulator::What::asked;
--- a/src/record/conversation/conversation.cpp
+++ b/src/record/conversation/conversation.cpp
@@ -51,12 +51,12 @@
 
 // A refusal or a failure on either side is the word of a proxy; an answer that never came, or another value,
 // is nobody's decision.
-Verdict compare(const Answered& before, const Answered& after) {
+Verdict compare(const ResponseEvent& before, const ResponseEvent& after) {
     if (before.kind == after.kind && before.digest == after.digest && before.kind != Kind::none) return {};
     // How much of an answer had come when its client called it off is chance.
     if (before.kind == after.kind && (before.kind == Kind::none || before.kind == Kind::called_off))
         return {};
-    const auto said = [](const Answered& a) {
+    const auto said = [](const ResponseEvent& a) {
         return std::string(to_text(a.kind)) + (a.code.empty() ? "" : " " + a.code);
     };
     if (after.kind == Kind::none) return {false, Cause::none, said(before) + " before, no answer after"};
--- a/src/record/conversation/conversation.h
+++ b/src/record/conversation/conversation.h
@@ -31,7 +31,7 @@
     Time at = 0;
     std::string_view bytes;  // all that the client sent up to here
 };
-struct Asked {
+struct RequestEvent {
     ConnectionId connection = 0;
     std::uint32_t number = 0;  // on its connection, from 0
     Time at = 0;               // of its last byte
@@ -52,7 +52,7 @@
     none         // no answer, or not a whole one: its fate is unknown
 };
 const char* to_text(Kind kind);
-struct Answered {
+struct ResponseEvent {
     ConnectionId connection = 0;
     std::uint32_t number = 0;
     Time at = 0;  // of its last byte, or of the end of the stream
@@ -73,8 +73,8 @@
 public:
     virtual void opened(const Opened&) {}
     virtual void greeted(ConnectionId, Time, const Digest&) {}  // it may ask from now on
-    virtual void asked(const Asked&) = 0;
-    virtual void answered(const Answered&) = 0;
+    virtual void asked(const RequestEvent&) = 0;
+    virtual void answered(const ResponseEvent&) = 0;
     virtual void cut(const Cut&) {}
     virtual void closed(ConnectionId, Time) {}
 
@@ -125,6 +125,6 @@
     Cause cause = Cause::none;
     std::string what = {};  // one phrase, empty where they agree
 };
-Verdict compare(const Answered& before, const Answered& after);
+Verdict compare(const ResponseEvent& before, const ResponseEvent& after);
 
 }  // namespace sloestack::conversation
--- a/src/record/conversation/postgres.cpp
+++ b/src/record/conversation/postgres.cpp
@@ -81,7 +81,7 @@
     pgwire::FieldReader in(m.body);
     const auto statement = in.text();
     if (!in.empty()) throw pgwire::ProtocolError("a query with bytes behind its end");
-    Asked out;
+    RequestEvent out;
     out.connection = connection_;
     out.at = at;
     out.ahead = !open_.empty() || !greeted_;
--- a/src/record/conversation/reading.cpp
+++ b/src/record/conversation/reading.cpp
@@ -56,7 +56,7 @@
 void Reading::answer(Time at, bool whole) {
     const auto found = digest();
     auto said = std::exchange(said_, {});
-    Answered out;
+    ResponseEvent out;
     out.connection = connection_;
     out.number = open_.front();
     open_.pop_front();
@@ -86,7 +86,7 @@
     to_.closed(connection_, at);
 }
 
-void read_comment(std::string_view statement, Asked& out) {
+void read_comment(std::string_view statement, RequestEvent& out) {
     try {
         const auto tags = pgwire::read_tags(statement);
         out.id = tags.id, out.request_class = tags.request_class, out.key = tags.key;
--- a/src/record/conversation/reading.h
+++ b/src/record/conversation/reading.h
@@ -117,7 +117,7 @@
 };
 
 // Fills what a statement's comment tells of a request; one without the comment is a request all the same.
-void read_comment(std::string_view statement, Asked& out);
+void read_comment(std::string_view statement, RequestEvent& out);
 // The statement under another id, and key where it has one. Throws std::invalid_argument where it has no
 // comment.
 std::string renamed_statement(std::string_view statement, std::string_view id, std::string_view key);
--- a/src/record/conversation/recording.cpp
+++ b/src/record/conversation/recording.cpp
@@ -28,7 +28,7 @@
 void Recording::check_link(const std::string& name) {
     memory_.most = settings_.most_unfinished;
     if (!pcap::knows_link(reader_.link_type()))
-        throw pcap::BadFile(name + ": its link type " + reader_.link_name() + " is not read here");
+        throw pcap::CaptureFileError(name + ": its link type " + reader_.link_name() + " is not read here");
 }
 
 bool Recording::step() {
@@ -93,7 +93,7 @@
     open_.erase(found);
 }
 
-void Recording::asked(const Asked& a) {
+void Recording::asked(const RequestEvent& a) {
     ++figures_.requests;
     const auto request_class = a.request_class.empty() ? std::string_view("(none)") : a.request_class;
     if (const auto known = figures_.requests_by_class.find(request_class);
@@ -108,7 +108,7 @@
 }
 
 // Answers come in the order of the requests.
-void Recording::answered(const Answered& a) {
+void Recording::answered(const ResponseEvent& a) {
     ++answers_[static_cast<std::size_t>(a.kind)];
     auto& ids = open_[a.connection].ids;
     if (!ids.empty()) {
--- a/src/record/conversation/recording.h
+++ b/src/record/conversation/recording.h
@@ -48,7 +48,7 @@
 
 class Recording final : private streams::Events, private Listener {
 public:
-    // Throws pcap::BadFile.
+    // Throws pcap::CaptureFileError.
     Recording(const std::string& path, const Language& language, const RecordingSettings& settings,
               Listener& to);
     Recording(std::FILE* file, const std::string& name, const Language& language,
@@ -80,8 +80,8 @@
 
     void opened(const Opened& o) override { to_.opened(o); }
     void greeted(ConnectionId c, Time at, const Digest& d) override { to_.greeted(c, at, d); }
-    void asked(const Asked& a) override;
-    void answered(const Answered& a) override;
+    void asked(const RequestEvent& a) override;
+    void answered(const ResponseEvent& a) override;
     void cut(const Cut& c) override;
     void closed(ConnectionId c, Time at) override { to_.closed(c, at); }
 
--- a/src/record/conversation/tds.cpp
+++ b/src/record/conversation/tds.cpp
@@ -113,7 +113,7 @@
 void Tds::request(Time at) {
     const bool batch = from_client_.type() == tds::PacketType::batch;
     const auto read = batch ? tds::read_batch(message_) : tds::read_rpc(message_);
-    Asked out;
+    RequestEvent out;
     out.connection = connection_;
     out.at = at;
     out.ahead = !open_.empty() || !greeted_;
--- a/src/record/pcap/file.cpp
+++ b/src/record/pcap/file.cpp
@@ -44,9 +44,9 @@
 
 File::File(const std::string& path) : impl_(std::make_unique<Impl>()), path_(path) {
     impl_->form = pcap_open_dead_with_tstamp_precision(DLT_EN10MB, kSnapLength, PCAP_TSTAMP_PRECISION_NANO);
-    if (!impl_->form) throw BadFile(path + ": out of memory");
+    if (!impl_->form) throw CaptureFileError(path + ": out of memory");
     impl_->out = pcap_dump_open(impl_->form, path.c_str());
-    if (!impl_->out) throw BadFile(path + ": " + pcap_geterr(impl_->form));
+    if (!impl_->out) throw CaptureFileError(path + ": " + pcap_geterr(impl_->form));
 }
 
 File::~File() = default;
@@ -58,12 +58,12 @@
     head.caplen = static_cast<bpf_u_int32>(bytes.size());
     head.len = on_wire ? on_wire : head.caplen;
     pcap_dump(reinterpret_cast<u_char*>(impl_->out), &head, reinterpret_cast<const u_char*>(bytes.data()));
-    if (std::ferror(pcap_dump_file(impl_->out))) throw BadFile(path_ + ": cannot be written");
+    if (std::ferror(pcap_dump_file(impl_->out))) throw CaptureFileError(path_ + ": cannot be written");
     ++frames_;
 }
 
 void File::close() {
-    if (pcap_dump_flush(impl_->out) != 0) throw BadFile(path_ + ": cannot be written");
+    if (pcap_dump_flush(impl_->out) != 0) throw CaptureFileError(path_ + ": cannot be written");
 }
 
 std::string build(const Segment& s) {
--- a/src/record/pcap/file.h
+++ b/src/record/pcap/file.h
@@ -22,15 +22,16 @@
 
 class File final : public Sink {
 public:
-    // Throws BadFile where the file cannot be made.
+    // Throws CaptureFileError where the file cannot be made.
     explicit File(const std::string& path);
     ~File() override;
     File(const File&) = delete;
     File& operator=(const File&) = delete;
 
-    // Throws BadFile where it cannot be written: what a full disk has cut is not passed off as a capture.
+    // Throws CaptureFileError where it cannot be written: what a full disk has cut is not passed off as a
+    // capture.
     void frame(std::int64_t time_ns, std::string_view bytes, std::uint32_t on_wire = 0) override;
-    // All is with the kernel, or BadFile.
+    // All is with the kernel, or CaptureFileError.
     void close();
     std::uint64_t frames() const { return frames_; }
 
--- a/src/record/pcap/reader.cpp
+++ b/src/record/pcap/reader.cpp
@@ -13,10 +13,10 @@
 
 Reader::Reader(const std::string& path) : impl_(std::make_unique<Impl>()) {
     char why[PCAP_ERRBUF_SIZE] = "";
-    if (path == "-") throw BadFile("-: a capture is read from a file, not from standard input");
+    if (path == "-") throw CaptureFileError("-: a capture is read from a file, not from standard input");
     impl_->file = pcap_open_offline_with_tstamp_precision(path.c_str(), PCAP_TSTAMP_PRECISION_NANO,
                                                           static_cast<char*>(why));
-    if (!impl_->file) throw BadFile(path + ": " + static_cast<const char*>(why));
+    if (!impl_->file) throw CaptureFileError(path + ": " + static_cast<const char*>(why));
     link_type_ = pcap_datalink(impl_->file);
 }
 
@@ -26,7 +26,7 @@
         pcap_fopen_offline_with_tstamp_precision(file, PCAP_TSTAMP_PRECISION_NANO, static_cast<char*>(why));
     if (!impl_->file) {
         std::fclose(file);
-        throw BadFile(name + ": " + static_cast<const char*>(why));
+        throw CaptureFileError(name + ": " + static_cast<const char*>(why));
     }
     link_type_ = pcap_datalink(impl_->file);
 }
--- a/src/record/pcap/reader.h
+++ b/src/record/pcap/reader.h
@@ -13,7 +13,7 @@
 namespace sloestack::pcap {
 
 // A file that cannot be read at all: missing, no capture file, or of a link type that libpcap does not know.
-struct BadFile : std::runtime_error {
+struct CaptureFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -25,7 +25,7 @@
 
 class Reader {
 public:
-    // Throws BadFile. "-" is no file here: a capture is read from a path only.
+    // Throws CaptureFileError. "-" is no file here: a capture is read from a path only.
     explicit Reader(const std::string& path);
     // The same from a stream that is open for reading; closes it. `name` stands in messages.
     Reader(std::FILE* file, const std::string& name);
--- a/src/record/replay/replay.cpp
+++ b/src/record/replay/replay.cpp
@@ -6,8 +6,8 @@
 namespace sloestack::replay {
 namespace {
 
-using conversation::Answered;
 using conversation::Kind;
+using conversation::ResponseEvent;
 using schedule::Fate;
 
 constexpr Micros kAhead = 500'000;  // of the run's time, that the file is read ahead: more only costs memory
@@ -85,8 +85,8 @@
         heard_ = false;
         flush();
     }
-    void asked(const conversation::Asked&) override {}
-    void answered(const Answered& a) override {
+    void asked(const conversation::RequestEvent&) override {}
+    void answered(const ResponseEvent& a) override {
         if (sent_.empty()) return;
         const auto ticket = sent_.front();
         sent_.pop_front();
@@ -268,7 +268,7 @@
     schedule_.add(step);
 }
 
-void Replay::asked(const conversation::Asked& a) {
+void Replay::asked(const conversation::RequestEvent& a) {
     if (a.number >= 1u << kNumberBits || a.connection >= std::uint64_t{1} << kConnectionBits) return;
     schedule::Recorded step;
     step.ticket = ticket_of(a.connection, a.number);
@@ -297,7 +297,7 @@
     schedule_.add(step);
 }
 
-void Replay::answered(const Answered& a) {
+void Replay::answered(const ResponseEvent& a) {
     const auto ticket = ticket_of(a.connection, a.number);
     const auto found = requests_.find(ticket);
     if (found == requests_.end()) return;  // it was skipped
@@ -370,7 +370,7 @@
     requests_.erase(found);
 }
 
-void Replay::live_answer(Ticket ticket, Answered answer) {
+void Replay::live_answer(Ticket ticket, ResponseEvent answer) {
     const auto found = requests_.find(ticket);
     if (found == requests_.end()) return;
     auto& request = found->second;
--- a/src/record/replay/replay.h
+++ b/src/record/replay/replay.h
@@ -28,11 +28,11 @@
     bool resent = false;
     Micros left = 0;
     Time due = 0, sent_at = 0;
-    std::optional<conversation::Answered> recorded, live;
+    std::optional<conversation::ResponseEvent> recorded, live;
 };
 
 // Told of each request as it leaves, with null, and of its answer.
-using Checker = std::function<void(const Request&, const conversation::Answered*)>;
+using Checker = std::function<void(const Request&, const conversation::ResponseEvent*)>;
 
 struct Settings {
     std::string path;
@@ -68,8 +68,8 @@
 
 class Replay final : private conversation::Listener {
 public:
-    // Starts at `start`, on the deadlines' clock. Throws pcap::BadFile or std::invalid_argument. `out` may be
-    // null; it gets both sides of all that happens.
+    // Starts at `start`, on the deadlines' clock. Throws pcap::CaptureFileError or std::invalid_argument.
+    // `out` may be null; it gets both sides of all that happens.
     Replay(net::Loop& loop, Deadlines& deadlines, const Settings& settings,
            const conversation::Language& language, Time start, writer::Writer* out);
     ~Replay();
@@ -88,8 +88,8 @@
 
     // What the file holds
     void opened(const conversation::Opened& o) override;
-    void asked(const conversation::Asked& a) override;
-    void answered(const conversation::Answered& a) override;
+    void asked(const conversation::RequestEvent& a) override;
+    void answered(const conversation::ResponseEvent& a) override;
     void closed(conversation::ConnectionId connection, Time at) override;
 
     void read_ahead();
@@ -97,7 +97,7 @@
     Ticket ticket_of(std::uint64_t connection, std::uint32_t number) const;
     void carry_out(const schedule::Due& due);
     void skip(Ticket ticket, const char* why);
-    void live_answer(Ticket ticket, conversation::Answered answer);
+    void live_answer(Ticket ticket, conversation::ResponseEvent answer);
     void settle(Ticket ticket);
     void close(std::uint64_t connection);
     void wake_at(Time at);
--- a/src/record/schedule/schedule.cpp
+++ b/src/record/schedule/schedule.cpp
@@ -24,9 +24,9 @@
       timeline_(settings.speed, settings.stretch),
       round_start_(start),
       latest_due_(start) {
-    if (!(settings.most_per_second >= 0 && settings.most_per_second <= 1e6))
+    if (!(settings.max_requests_per_second >= 0 && settings.max_requests_per_second <= 1e6))
         throw std::invalid_argument("the cap on the rate must lie between 0 (none) and 1000000 a second");
-    if (settings.most_open == 0)
+    if (settings.max_open_requests == 0)
         throw std::invalid_argument("at least one request must be allowed to be open");
     if (settings.rounds < 1 || settings.rounds > 1'000'000)
         throw std::invalid_argument("rounds must lie between 1 and 1000000");
@@ -144,8 +144,8 @@
     const auto& first = *heads_.begin();
     const auto& head = lanes_.at(first.second).items.front();
     if (head.step.step != Step::ask) return first.first;
-    if (open_.size() >= settings_.most_open && settings_.late == Late::send) return std::nullopt;
-    if (open_.size() >= settings_.most_open) return first.first + settings_.late_after + 1;
+    if (open_.size() >= settings_.max_open_requests && settings_.late == Late::send) return std::nullopt;
+    if (open_.size() >= settings_.max_open_requests) return first.first + settings_.late_after + 1;
     return std::max(first.first, next_by_rate_);
 }
 
@@ -173,16 +173,16 @@
             unlist(at->first, lane);
             continue;
         }
-        if (open_.size() >= settings_.most_open) {
+        if (open_.size() >= settings_.max_open_requests) {
             hold(item, Held::budget);
             return std::nullopt;
         }
-        if (settings_.most_per_second > 0) {
+        if (settings_.max_requests_per_second > 0) {
             if (now < next_by_rate_) {
                 hold(item, Held::rate);
                 return std::nullopt;
             }
-            const auto apart = static_cast<Micros>(std::llround(1e6 / settings_.most_per_second));
+            const auto apart = static_cast<Micros>(std::llround(1e6 / settings_.max_requests_per_second));
             // Time not used is not saved up, but for what a turn of the loop may take.
             next_by_rate_ = std::max(next_by_rate_, now - kCatchUp) + apart;
         }
--- a/src/record/schedule/schedule.h
+++ b/src/record/schedule/schedule.h
@@ -33,10 +33,10 @@
 struct Settings {
     double speed = 1;
     std::optional<Stretch> stretch;
-    double most_per_second = 0;  // requests; 0: as recorded
+    double max_requests_per_second = 0;  // requests; 0: as recorded
     Backwards backwards = Backwards::clamp;
-    Micros sort_window = 2'000'000;  // of the file's time
-    std::size_t most_open = 50'000;  // requests without an answer at once
+    Micros sort_window = 2'000'000;          // of the file's time
+    std::size_t max_open_requests = 50'000;  // requests without an answer at once
     Late late = Late::send;
     Micros late_after = 100'000;  // only for Late::skip
     int rounds = 1;
--- a/src/record/streams/streams.cpp
+++ b/src/record/streams/streams.cpp
@@ -70,7 +70,7 @@
 // Whoever sends SYN alone is the client. Where only the answer to it is there, its receiver is. A stream that
 // neither is seen of has no beginning: which side asks is not guessed at.
 Streams::Stream& Streams::begin(const Key& key, const Segment& s) {
-    if (flows_.size() >= limits_.most_streams) {
+    if (flows_.size() >= limits_.max_streams) {
         const auto oldest = flows_.find(by_age_.front());
         auto& stream = *oldest->second;
         for (const auto side : {Side::client, Side::server}) lose(stream, side, Gap::too_many);
@@ -218,15 +218,16 @@
     }
     if (s.payload.size() <= kept.size()) return;
     const auto more = s.payload.size() - kept.size();
-    if (half.held_bytes + more > limits_.most_held_by_one || held_ + more > limits_.most_held) {
-        const bool own = half.held_bytes + more > limits_.most_held_by_one;
+    if (half.held_bytes + more > limits_.max_buffered_bytes_per_stream ||
+        held_ + more > limits_.max_buffered_bytes) {
+        const bool own = half.held_bytes + more > limits_.max_buffered_bytes_per_stream;
         if (fresh) half.held.erase(at);
         return lose(stream, from, own ? Gap::too_much_held : Gap::all_too_much);
     }
     kept.append(s.payload.substr(kept.size()));
     half.held_bytes += more;
     held_ += more;
-    if (!SLOESTACK_INVARIANT(held_ <= limits_.most_held, "streams hold no more than they may"))
+    if (!SLOESTACK_INVARIANT(held_ <= limits_.max_buffered_bytes, "streams hold no more than they may"))
         lose(stream, from, Gap::all_too_much);
 }
 
--- a/src/record/streams/streams.h
+++ b/src/record/streams/streams.h
@@ -60,10 +60,10 @@
 };
 
 struct Limits {
-    std::size_t most_held = 16 * 1024 * 1024;    // bytes behind holes, all streams
-    std::size_t most_held_by_one = 1024 * 1024;  // the largest window without scaling is 64 KiB
-    std::size_t most_streams = 65536;            // some 400 bytes each
-    bool vlans_apart = false;                    // equal addresses on two VLANs are two streams
+    std::size_t max_buffered_bytes = 16 * 1024 * 1024;        // bytes behind holes, all streams
+    std::size_t max_buffered_bytes_per_stream = 1024 * 1024;  // the largest window without scaling is 64 KiB
+    std::size_t max_streams = 65536;                          // some 400 bytes each
+    bool vlans_apart = false;                                 // equal addresses on two VLANs are two streams
 };
 
 struct Counters {
--- a/tests/record/conversation_test.cpp
+++ b/tests/record/conversation_test.cpp
@@ -199,7 +199,7 @@
 
 TEST(Verdict, OnlyWhatAProxyDecidedHasACause) {
     const auto of = [](Kind kind, std::uint64_t low, std::string code = {}) {
-        Answered a;
+        ResponseEvent a;
         a.kind = kind;
         a.digest = {low, 0, 5};
         a.code = std::move(code);
--- a/tests/record/heard.h
+++ b/tests/record/heard.h
@@ -14,12 +14,12 @@
     std::vector<Digest> digests;
     void opened(const Opened& o) override { log.push_back("opened " + std::to_string(o.bytes.size())); }
     void greeted(ConnectionId, Time, const Digest&) override { log.push_back("greeted"); }
-    void asked(const Asked& a) override {
+    void asked(const RequestEvent& a) override {
         log.push_back("asked " + std::to_string(a.number) + " " + std::string(a.id) + " " +
                       std::string(a.request_class) + " " + std::string(a.key) + " " + std::to_string(a.left) +
                       (a.ahead ? " ahead" : "") + (a.repeat ? " repeat" : ""));
     }
-    void answered(const Answered& a) override {
+    void answered(const ResponseEvent& a) override {
         log.push_back("answered " + std::to_string(a.number) + " " + to_text(a.kind) + " " + a.code +
                       (a.advice ? " " + std::to_string(*a.advice) : ""));
         digests.push_back(a.digest);
--- a/tests/record/recording_test.cpp
+++ b/tests/record/recording_test.cpp
@@ -17,8 +17,8 @@
 using emulator::Damage;
 
 struct Nobody final : conversation::Listener {
-    void asked(const conversation::Asked&) override {}
-    void answered(const conversation::Answered&) override {}
+    void asked(const conversation::RequestEvent&) override {}
+    void answered(const conversation::ResponseEvent&) override {}
 };
 
 struct Scratch {
@@ -208,15 +208,16 @@
     Scratch scratch;
     Nobody nobody;
     std::ofstream(scratch.path) << "not a capture at all, but long enough to be read as one";
-    EXPECT_THROW(conversation::Recording(scratch.path, conversation::postgres(), {}, nobody), pcap::BadFile);
+    EXPECT_THROW(conversation::Recording(scratch.path, conversation::postgres(), {}, nobody),
+                 pcap::CaptureFileError);
     EXPECT_THROW(conversation::Recording(scratch.path + ".none", conversation::postgres(), {}, nobody),
-                 pcap::BadFile);
+                 pcap::CaptureFileError);
     std::string wifi("\xd4\xc3\xb2\xa1\2\0\4\0\0\0\0\0\0\0\0\0\0\0\4\0\x69\0\0\0", 24);
     std::ofstream(scratch.path, std::ios::binary) << wifi;
     try {
         conversation::Recording(scratch.path, conversation::postgres(), {}, nobody);
         FAIL();
-    } catch (const pcap::BadFile& error) {
+    } catch (const pcap::CaptureFileError& error) {
         EXPECT_NE(std::string(error.what()).find("link type"), std::string::npos);
     }
 }
--- a/tests/record/schedule_test.cpp
+++ b/tests/record/schedule_test.cpp
@@ -197,7 +197,7 @@
 
 TEST(Schedule, TheBudgetHoldsOrSkips) {
     Settings settings;
-    settings.most_open = 1;
+    settings.max_open_requests = 1;
     Schedule hold(settings, kStart);
     hold.add(ask(1, 1, 0));
     hold.add(ask(2, 2, 10));
@@ -224,7 +224,7 @@
 
 RC_GTEST_PROP(ScheduleProperty, TheCapOnTheRateHolds, ()) {
     Settings settings;
-    settings.most_per_second = *rc::gen::inRange(10, 5000);
+    settings.max_requests_per_second = *rc::gen::inRange(10, 5000);
     Schedule s(settings, kStart);
     const int count = 200;
     for (Ticket t = 1; t <= count; ++t) s.add(ask(t, t, 0));
@@ -237,7 +237,7 @@
     }
     RC_ASSERT(sent.size() == static_cast<std::size_t>(count));
     // Any stretch of time holds no more than the rate allows, but for 5 ms that a turn may make good.
-    const auto apart = static_cast<Micros>(1e6 / settings.most_per_second);
+    const auto apart = static_cast<Micros>(1e6 / settings.max_requests_per_second);
     for (std::size_t i = 0; i < sent.size(); ++i)
         for (std::size_t j = i + 1; j < sent.size(); ++j)
             RC_ASSERT(static_cast<Micros>(j - i) * apart <= sent[j] - sent[i] + 5000 + apart);
@@ -247,7 +247,7 @@
 // that may have run, the budget holds, and all that goes in comes out.
 RC_GTEST_PROP(ScheduleProperty, RulesHoldUnderAnyAnswers, ()) {
     Settings settings;
-    settings.most_open = static_cast<std::size_t>(*rc::gen::inRange(1, 6));
+    settings.max_open_requests = static_cast<std::size_t>(*rc::gen::inRange(1, 6));
     settings.late = *rc::gen::element(Late::send, Late::skip);
     settings.backwards = *rc::gen::element(Backwards::clamp, Backwards::sort);
     Schedule s(settings, kStart);
@@ -276,7 +276,7 @@
             if (due->skipped != Skipped::no) continue;
             RC_ASSERT(open.insert(due->ticket).second);
             RC_ASSERT(ids.insert(r.id).second);
-            RC_ASSERT(open.size() <= settings.most_open);
+            RC_ASSERT(open.size() <= settings.max_open_requests);
             if (r.key.empty()) continue;
             RC_ASSERT(!keys.count(r.key) || keys[r.key] == Fate::refused);
             keys[r.key] = Fate::unknown;
@@ -301,10 +301,10 @@
     s.rounds = 0;
     EXPECT_THROW(Schedule(s, 0), std::invalid_argument);
     s = {};
-    s.most_open = 0;
+    s.max_open_requests = 0;
     EXPECT_THROW(Schedule(s, 0), std::invalid_argument);
     s = {};
-    s.most_per_second = -1;
+    s.max_requests_per_second = -1;
     EXPECT_THROW(Schedule(s, 0), std::invalid_argument);
 }
 
--- a/tests/record/streams_test.cpp
+++ b/tests/record/streams_test.cpp
@@ -211,8 +211,8 @@
 
 TEST(Streams, WhatIsHeldIsBounded) {
     Limits limits;
-    limits.most_held_by_one = 1000;
-    limits.most_held = 1500;
+    limits.max_buffered_bytes_per_stream = 1000;
+    limits.max_buffered_bytes = 1500;
     Wire w(limits);
     const std::string part(400, 'x');
     for (std::uint16_t port = 1; port <= 8; ++port) {
@@ -220,7 +220,7 @@
         w.shake();
         for (std::uint32_t i = 0; i < 4; ++i) {
             w.send(Side::client, 10 + i * 400, part);
-            ASSERT_LE(w.streams.held(), limits.most_held);
+            ASSERT_LE(w.streams.held(), limits.max_buffered_bytes);
         }
     }
     EXPECT_TRUE(w.seen.has("client gap at 0: too much held behind a hole"));
@@ -230,7 +230,7 @@
 
 TEST(Streams, TheOneSilentLongestMakesRoom) {
     Limits limits;
-    limits.most_streams = 2;
+    limits.max_streams = 2;
     Wire w(limits);
     for (const std::uint16_t port : {1, 2}) {
         w.port = port;
