--- a/src/record/conversation/recording.cpp
+++ b/src/record/conversation/recording.cpp
@@ -27,7 +27,7 @@
 
 void Recording::check_link(const std::string& name) {
     memory_.most = settings_.most_unfinished;
-    if (!pcap::knows_link(reader_.link_type()))
+    if (!pcap::is_link_type_supported(reader_.link_type()))
         throw pcap::CaptureFileError(name + ": its link type " + reader_.link_name() + " is not read here");
 }
 
--- a/src/record/pcap/file.cpp
+++ b/src/record/pcap/file.cpp
@@ -13,57 +13,59 @@
 namespace sloestack::pcap {
 namespace {
 
-constexpr int kSnapLength = 262144;  // the most that common readers take; no frame here comes near it
-// Locally administered addresses: no card has them.
-constexpr const char *kOneMac = "02:00:00:00:00:01", *kOtherMac = "02:00:00:00:00:02";
+constexpr int kSnapLength =
+    262144;  // bytes; the largest that common readers accept, and far above any frame written here
+// Locally administered MAC addresses, which no network card has.
+constexpr const char *kLowerMac = "02:00:00:00:00:01", *kHigherMac = "02:00:00:00:00:02";
 constexpr std::uint16_t kWindow = 65535;
 
 template <class Address>
-Address address_of(const Endpoint& at);
+Address address_of(const Endpoint& endpoint);
 template <>
-Tins::IPv4Address address_of(const Endpoint& at) {
+Tins::IPv4Address address_of(const Endpoint& endpoint) {
     std::uint32_t raw = 0;
-    std::memcpy(&raw, at.address.data(), sizeof raw);
+    std::memcpy(&raw, endpoint.address.data(), sizeof raw);
     return Tins::IPv4Address(raw);
 }
 template <>
-Tins::IPv6Address address_of(const Endpoint& at) {
-    return Tins::IPv6Address(at.address.data());
+Tins::IPv6Address address_of(const Endpoint& endpoint) {
+    return Tins::IPv6Address(endpoint.address.data());
 }
 
 }  // namespace
 
 struct File::Impl {
-    pcap_t* form = nullptr;
-    pcap_dumper_t* out = nullptr;
+    pcap_t* handle = nullptr;
+    pcap_dumper_t* dumper = nullptr;
     ~Impl() {
-        if (out) pcap_dump_close(out);
-        if (form) pcap_close(form);
+        if (dumper) pcap_dump_close(dumper);
+        if (handle) pcap_close(handle);
     }
 };
 
 File::File(const std::string& path) : impl_(std::make_unique<Impl>()), path_(path) {
-    impl_->form = pcap_open_dead_with_tstamp_precision(DLT_EN10MB, kSnapLength, PCAP_TSTAMP_PRECISION_NANO);
-    if (!impl_->form) throw CaptureFileError(path + ": out of memory");
-    impl_->out = pcap_dump_open(impl_->form, path.c_str());
-    if (!impl_->out) throw CaptureFileError(path + ": " + pcap_geterr(impl_->form));
+    impl_->handle = pcap_open_dead_with_tstamp_precision(DLT_EN10MB, kSnapLength, PCAP_TSTAMP_PRECISION_NANO);
+    if (!impl_->handle) throw CaptureFileError(path + ": libpcap could not allocate a writer");
+    impl_->dumper = pcap_dump_open(impl_->handle, path.c_str());
+    if (!impl_->dumper) throw CaptureFileError(path + ": " + pcap_geterr(impl_->handle));
 }
 
 File::~File() = default;
 
 void File::frame(std::int64_t time_ns, std::string_view bytes, std::uint32_t on_wire) {
-    pcap_pkthdr head{};
-    head.ts.tv_sec = static_cast<decltype(head.ts.tv_sec)>(time_ns / 1'000'000'000);
-    head.ts.tv_usec = static_cast<decltype(head.ts.tv_usec)>(time_ns % 1'000'000'000);
-    head.caplen = static_cast<bpf_u_int32>(bytes.size());
-    head.len = on_wire ? on_wire : head.caplen;
-    pcap_dump(reinterpret_cast<u_char*>(impl_->out), &head, reinterpret_cast<const u_char*>(bytes.data()));
-    if (std::ferror(pcap_dump_file(impl_->out))) throw CaptureFileError(path_ + ": cannot be written");
+    pcap_pkthdr header{};
+    header.ts.tv_sec = static_cast<decltype(header.ts.tv_sec)>(time_ns / 1'000'000'000);
+    header.ts.tv_usec = static_cast<decltype(header.ts.tv_usec)>(time_ns % 1'000'000'000);
+    header.caplen = static_cast<bpf_u_int32>(bytes.size());
+    header.len = on_wire ? on_wire : header.caplen;
+    pcap_dump(reinterpret_cast<u_char*>(impl_->dumper), &header,
+              reinterpret_cast<const u_char*>(bytes.data()));
+    if (std::ferror(pcap_dump_file(impl_->dumper))) throw CaptureFileError(path_ + ": write failed");
     ++frames_;
 }
 
 void File::close() {
-    if (pcap_dump_flush(impl_->out) != 0) throw CaptureFileError(path_ + ": cannot be written");
+    if (pcap_dump_flush(impl_->dumper) != 0) throw CaptureFileError(path_ + ": write failed");
 }
 
 std::string build(const Segment& s) {
@@ -73,27 +75,27 @@
     tcp.ack_seq(s.ack);
     tcp.flags(s.flags);
     tcp.window(kWindow);
-    const bool forward = s.from < s.to;
-    EthernetII frame(HWAddress<6>(forward ? kOtherMac : kOneMac),
-                     HWAddress<6>(forward ? kOneMac : kOtherMac));
-    PDU* inner = &frame;
-    const auto add = [&](PDU* next) {
-        inner->inner_pdu(next);
-        inner = next;
+    const bool from_lower = s.from < s.to;
+    EthernetII frame(HWAddress<6>(from_lower ? kHigherMac : kLowerMac),
+                     HWAddress<6>(from_lower ? kLowerMac : kHigherMac));
+    PDU* innermost = &frame;
+    const auto append = [&](PDU* next) {
+        innermost->inner_pdu(next);
+        innermost = next;
     };
-    if (s.vlan) add(new Dot1Q(s.vlan));
+    if (s.vlan) append(new Dot1Q(s.vlan));
     if (s.from.v6) {
-        add(new IPv6(address_of<IPv6Address>(s.to), address_of<IPv6Address>(s.from)));
+        append(new IPv6(address_of<IPv6Address>(s.to), address_of<IPv6Address>(s.from)));
     } else {
         auto* ip = new IP(address_of<IPv4Address>(s.to), address_of<IPv4Address>(s.from));
         ip->ttl(64);
         ip->flags(IP::DONT_FRAGMENT);
-        add(ip);
+        append(ip);
     }
-    add(tcp.clone());
+    append(tcp.clone());
     if (!s.payload.empty())
-        add(new RawPDU(reinterpret_cast<const std::uint8_t*>(s.payload.data()),
-                       static_cast<std::uint32_t>(s.payload.size())));
+        append(new RawPDU(reinterpret_cast<const std::uint8_t*>(s.payload.data()),
+                          static_cast<std::uint32_t>(s.payload.size())));
     const auto bytes = frame.serialize();
     return {bytes.begin(), bytes.end()};
 }
--- a/src/record/pcap/file.h
+++ b/src/record/pcap/file.h
@@ -1,5 +1,5 @@
-// Writes capture files of Ethernet frames, in nanoseconds, on libpcap; and builds their packets on libtins,
-// with valid checksums.
+// Writes capture files of Ethernet frames with nanosecond timestamps through libpcap, and builds the frames
+// with libtins, including valid checksums.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,27 @@
 
 namespace sloestack::pcap {
 
-// Takes packets that are whole, in the order in which they shall stand.
+// Receives complete frames in the order in which they are to be stored.
 class Sink {
 public:
     virtual ~Sink() = default;
-    // `on_wire` as in Frame; 0 means the packet is whole.
+    // Takes one frame. `time_ns`: Unix nanoseconds. `on_wire`: the frame's size on the wire in bytes, as in
+    // Frame; 0 means the same as the size of `bytes`.
     virtual void frame(std::int64_t time_ns, std::string_view bytes, std::uint32_t on_wire) = 0;
 };
 
 class File final : public Sink {
 public:
-    // Throws CaptureFileError where the file cannot be made.
+    // Creates the file, or overwrites it. Throws CaptureFileError if that fails.
     explicit File(const std::string& path);
     ~File() override;
     File(const File&) = delete;
     File& operator=(const File&) = delete;
 
-    // Throws CaptureFileError where it cannot be written: what a full disk has cut is not passed off as a
-    // capture.
+    // Throws CaptureFileError if the write fails, so that a file truncated by a full disk is not taken for a
+    // complete capture.
     void frame(std::int64_t time_ns, std::string_view bytes, std::uint32_t on_wire = 0) override;
-    // All is with the kernel, or CaptureFileError.
+    // Flushes all frames to the operating system. Throws CaptureFileError if that fails.
     void close();
     std::uint64_t frames() const { return frames_; }
 
@@ -42,7 +43,8 @@
     std::uint64_t frames_ = 0;
 };
 
-// The frame of one TCP segment: Ethernet II, a VLAN tag where `vlan` is not 0, IPv4 or IPv6 by the addresses.
+// Returns the Ethernet II frame of one TCP segment, with a VLAN tag if `vlan` is not 0, and with an IPv4 or
+// IPv6 header according to the addresses.
 std::string build(const Segment& segment);
 
 }  // namespace sloestack::pcap
--- a/src/record/pcap/packet.h
+++ b/src/record/pcap/packet.h
@@ -1,6 +1,6 @@
-// Takes packets apart: link layer, VLAN tags, IPv4 or IPv6, TCP. Pure and without copies: the hot path of
-// every capture that is read. docs/design/pcap.md has the measurement that decided against libtins here; the
-// tests hold this against libtins, packet by packet. Sources: RFC 791, 8200, 9293; IEEE 802.1Q;
+// Decodes packets: link layer, VLAN tags, IPv4 or IPv6, TCP. Does no I/O and copies nothing, since it is the
+// hot path of reading a capture. docs/design/pcap.md has the measurement that decided against libtins here;
+// the tests compare this decoder with libtins packet by packet. Sources: RFC 791, 8200, 9293; IEEE 802.1Q;
 // pcap-linktype(7).
 #pragma once
 
@@ -15,16 +15,18 @@
 namespace sloestack::pcap {
 
 struct Endpoint {
-    std::array<std::uint8_t, 16> address{};  // IPv4 in the first four bytes, the rest 0
+    std::array<std::uint8_t, 16> address{};  // an IPv4 address is in the first four bytes, and the rest is 0
     std::uint16_t port = 0;
     bool v6 = false;
-    bool operator==(const Endpoint& o) const { return port == o.port && v6 == o.v6 && address == o.address; }
-    bool operator<(const Endpoint& o) const {
-        return std::tie(v6, address, port) < std::tie(o.v6, o.address, o.port);
+    bool operator==(const Endpoint& other) const {
+        return port == other.port && v6 == other.v6 && address == other.address;
+    }
+    bool operator<(const Endpoint& other) const {
+        return std::tie(v6, address, port) < std::tie(other.v6, other.address, other.port);
     }
 };
-Endpoint endpoint_of(const sockaddr_in& at);
-std::string to_text(const Endpoint& at);  // "10.0.0.4:5433", "[::1]:5433"
+Endpoint endpoint_of(const sockaddr_in& address);
+std::string to_text(const Endpoint& endpoint);  // "10.0.0.4:5433", "[::1]:5433"
 
 namespace flag {
 constexpr std::uint8_t fin = 1, syn = 2, rst = 4, psh = 8, ack = 16;
@@ -35,27 +37,29 @@
     Endpoint from, to;
     std::uint32_t seq = 0, ack = 0;
     std::uint8_t flags = 0;
-    std::uint16_t vlan = 0;    // the innermost tag's number, 0 where there is none
-    std::string_view payload;  // what the file holds of it
-    std::uint32_t length = 0;  // of the payload as it was sent: more than is held where a snap length cut it
+    std::uint16_t vlan = 0;    // VLAN identifier of the innermost tag; 0 if there is none
+    std::string_view payload;  // the part of the payload that the file contains
+    std::uint32_t length =
+        0;  // payload bytes as sent; larger than payload.size() if a snap length truncated it
 };
 
-// Why a packet is none of a TCP stream's.
+// Why a packet is not part of a TCP stream.
 enum class Skip {
-    none,          // it is
-    unknown_link,  // a link type that is not read here
-    not_ip,        // ARP, IPv6 neighbour discovery on other ethertypes, ...
+    none,          // the packet is a TCP segment
+    unknown_link,  // a link type that decode() does not support
+    not_ip,        // any other ethertype, such as ARP
     not_tcp,
-    fragment,  // of an IP datagram; not put together, since TCP avoids them
-    cut_head,  // the snap length cut it before the end of the TCP header
-    malformed  // lengths that contradict each other
+    fragment,  // of an IP datagram; fragments are not reassembled, since TCP avoids them
+    cut_head,  // truncated by the snap length before the end of the TCP header
+    malformed  // inconsistent lengths
 };
-const char* to_text(Skip why);
+const char* to_text(Skip reason);
 
-// Fills `out` where the packet is a TCP segment, and says none; what `out` holds otherwise means nothing.
-// `link` is a DLT_ number. Never reads outside `bytes`.
-Skip decode(int link, std::int64_t time_us, std::string_view bytes, Segment& out);
-// Whether packets of this link type are read at all.
-bool knows_link(int link);
+// Decodes a TCP segment into `out` and returns Skip::none; for any other packet returns the reason, and the
+// contents of `out` are unspecified. `link_type` is a DLT_ number. Never reads outside `bytes`; out.payload
+// points into them.
+Skip decode(int link_type, std::int64_t time_us, std::string_view bytes, Segment& out);
+// Returns whether decode() supports this link type.
+bool is_link_type_supported(int link_type);
 
 }  // namespace sloestack::pcap
--- a/src/record/pcap/reader.h
+++ b/src/record/pcap/reader.h
@@ -1,5 +1,5 @@
-// Capture files: reads pcap (microsecond and nanosecond, both byte orders) and pcapng, one packet at a time,
-// on libpcap's offline calls. Nothing here opens an interface.
+// Reads capture files one packet at a time through libpcap's offline functions: pcap with microsecond or
+// nanosecond timestamps in either byte order, and pcapng. Never opens a network interface.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,37 @@
 
 namespace sloestack::pcap {
 
-// A file that cannot be read at all: missing, no capture file, or of a link type that libpcap does not know.
+// A capture file that cannot be opened, read or written: it is missing, is not a capture file, has a link
+// type that is not supported, or a write failed.
 struct CaptureFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct Frame {
-    std::int64_t time_ns = 0;   // Unix nanoseconds, as the file has them
-    std::string_view bytes;     // good until the next call of next()
-    std::uint32_t on_wire = 0;  // bytes the packet had; more than `bytes` holds where a snap length cut it
+    std::int64_t time_ns = 0;   // Unix nanoseconds, as stored in the file
+    std::string_view bytes;     // valid until the next call of next()
+    std::uint32_t on_wire = 0;  // size of the packet in bytes when captured; larger than `bytes` if a snap
+                                // length truncated it
 };
 
 class Reader {
 public:
-    // Throws CaptureFileError. "-" is no file here: a capture is read from a path only.
+    // Opens the file at `path`. Throws CaptureFileError if that fails, or if `path` is "-": standard input is
+    // not supported.
     explicit Reader(const std::string& path);
-    // The same from a stream that is open for reading; closes it. `name` stands in messages.
+    // Reads from a stream that is open for reading, and takes ownership of it: it is closed also if the
+    // constructor throws. `name` is used in error messages.
     Reader(std::FILE* file, const std::string& name);
     ~Reader();
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    // The next packet; nothing at the end of what can be read. A last record that is not whole, or one that
-    // is malformed, ends the file early: fault() then says what is wrong, and all packets before it count.
+    // Returns the next packet, or std::nullopt at the end of the file. A truncated or malformed record ends
+    // the file early: fault() then describes the error, and the packets before it remain valid.
     std::optional<Frame> next();
-    const std::string& fault() const { return fault_; }
-    int link_type() const { return link_type_; }  // a DLT_ number, see pcap-linktype(7)
+    const std::string& fault() const { return fault_; }  // empty if there was no error
+    int link_type() const { return link_type_; }         // a DLT_ number, see pcap-linktype(7)
+    // Returns libpcap's name of the link type, or its number if libpcap has no name for it.
     std::string link_name() const;
 
 private:
--- a/src/record/streams/streams.h
+++ b/src/record/streams/streams.h
@@ -1,7 +1,7 @@
-// TCP streams out of segments that a file holds: each direction's bytes in order, once, with every place
-// named where that is not to be had. Pure: segments go in, events come out; memory is bounded in all and by
-// stream. Sources: RFC 9293 for sequence numbers and states. docs/design/pcap.md weighs this against libtins'
-// follower.
+// Reassembles the TCP streams of a capture file: delivers the bytes of each direction once and in order, and
+// reports where bytes are missing. Does no I/O: takes segments and emits events. Memory is bounded for each
+// stream and in total. Source: RFC 9293 for sequence numbers and states. docs/design/pcap.md compares this
+// with libtins' stream follower.
 #pragma once
 
 #include <cstdint>
@@ -16,60 +16,63 @@
 
 namespace sloestack::streams {
 
-using StreamId = std::uint64_t;  // counted from 1 in the order in which streams begin
+using StreamId = std::uint64_t;  // counts from 1 in the order in which streams begin
 enum class Side { client, server };
-constexpr Side other(Side s) { return s == Side::client ? Side::server : Side::client; }
+constexpr Side other(Side side) { return side == Side::client ? Side::server : Side::client; }
 
-// Why bytes of a stream are not to be had. After one of these nothing more of that direction is told.
+// Why bytes of one direction of a stream are missing. After a gap no more bytes of that direction are
+// delivered.
 enum class Gap {
-    begins_midway,  // its handshake is not in the file
-    hole,           // bytes that the file lacks, though later ones are there
-    snapped,        // a snap length cut them
-    too_much_held,  // more waits behind a hole than a stream may hold
-    all_too_much,   // the same for all streams together
-    too_many        // streams at once; the one that was silent longest is given up
+    no_handshake,        // the stream's handshake is not in the file
+    hole,                // bytes are missing from the file, although later ones are present
+    truncated,           // a snap length truncated the segment
+    stream_buffer_full,  // the bytes behind a hole exceed Limits::max_buffered_bytes_per_stream
+    total_buffer_full,   // the bytes behind holes of all streams exceed Limits::max_buffered_bytes
+    too_many_streams     // Limits::max_streams are open; the one that was idle longest is evicted
 };
-const char* to_text(Gap why);
+const char* to_text(Gap reason);
 
 enum class End {
-    finished,     // both sides have said so
-    half_closed,  // one side has; the file ends, or its port is used again
+    finished,     // both sides have sent a FIN
+    half_closed,  // one side has sent a FIN before the file ended or the port was reused
     reset,
-    reused,  // its port is used again, and nothing was said before
-    file_ends,
-    given_up  // see Gap::too_many
+    port_reused,  // a new SYN came on the same addresses and ports, and no side had sent a FIN
+    end_of_file,
+    evicted  // see Gap::too_many_streams
 };
-const char* to_text(End how);
+const char* to_text(End end);
 
 struct Flow {
     pcap::Endpoint client, server;
-    std::uint16_t vlan_client = 0, vlan_server = 0;  // as first seen of each side
+    std::uint16_t vlan_client = 0, vlan_server = 0;  // of the first segment from each side
 };
 
+// Receives what Streams finds, during take() and finish().
 class Events {
 public:
     virtual void opened(StreamId id, const Flow& flow, std::int64_t time_us) = 0;
-    // The next bytes of a direction; good during the call only.
+    // The next bytes of a direction; valid only during the call.
     virtual void bytes(StreamId id, Side from, std::string_view bytes, std::int64_t time_us) = 0;
-    // `offset`: bytes of that direction told before.
-    virtual void gap(StreamId id, Side from, std::uint64_t offset, Gap why) = 0;
-    virtual void closed(StreamId id, std::int64_t time_us, End how) = 0;
+    // `offset`: number of bytes of that direction delivered before the gap.
+    virtual void gap(StreamId id, Side from, std::uint64_t offset, Gap reason) = 0;
+    virtual void closed(StreamId id, std::int64_t time_us, End end) = 0;
 
 protected:
     ~Events() = default;
 };
 
 struct Limits {
-    std::size_t max_buffered_bytes = 16 * 1024 * 1024;        // bytes behind holes, all streams
-    std::size_t max_buffered_bytes_per_stream = 1024 * 1024;  // the largest window without scaling is 64 KiB
-    std::size_t max_streams = 65536;                          // some 400 bytes each
-    bool vlans_apart = false;                                 // equal addresses on two VLANs are two streams
+    std::size_t max_buffered_bytes = 16 * 1024 * 1024;  // bytes buffered behind holes, over all streams
+    std::size_t max_buffered_bytes_per_stream =
+        1024 * 1024;                  // the largest TCP window without scaling is 64 KiB
+    std::size_t max_streams = 65536;  // open at once; each takes some 400 bytes
+    bool vlans_apart = false;         // equal addresses and ports on two VLANs are two streams
 };
 
 struct Counters {
     std::uint64_t segments = 0, streams = 0, retransmitted = 0;
-    std::uint64_t conflicting = 0;  // retransmitted with other bytes; the first ones count
-    std::uint64_t uncompared = 0;   // retransmitted, and the first bytes are no longer at hand
+    std::uint64_t conflicting = 0;  // retransmitted with different bytes; the first ones are delivered
+    std::uint64_t uncompared = 0;   // retransmitted, and the digest of the first bytes is gone
     std::uint64_t out_of_order = 0, two_vlans = 0, half_open = 0, stray = 0;
 };
 
@@ -81,44 +84,49 @@
     Streams& operator=(const Streams&) = delete;
 
     void take(const pcap::Segment& segment);
-    void finish();  // the file is over
+    // Ends all open streams; to be called at the end of the file.
+    void finish();
     const Counters& counters() const { return counters_; }
-    std::size_t held() const { return held_; }  // never more than the limit
-    std::size_t open() const { return flows_.size(); }
+    std::size_t held() const {
+        return buffered_bytes_;
+    }  // bytes buffered behind holes, at most max_buffered_bytes
+    std::size_t open() const { return flows_.size(); }  // number of open streams
 
 private:
     struct Key {
         pcap::Endpoint low, high;
         std::uint16_t vlan = 0;
-        bool operator==(const Key& o) const { return low == o.low && high == o.high && vlan == o.vlan; }
+        bool operator==(const Key& other) const {
+            return low == other.low && high == other.high && vlan == other.vlan;
+        }
     };
     struct Hash {
         std::size_t operator()(const Key& key) const;
     };
-    struct Half;
+    struct Direction;
     struct Stream;
     using Flows = std::unordered_map<Key, std::unique_ptr<Stream>, Hash>;
 
-    Stream& begin(const Key& key, const pcap::Segment& s);
-    void data(Stream& stream, Side from, const pcap::Segment& s);
-    void deliver_held(Stream& stream, Side from, std::int64_t time_us);
-    void hold(Stream& stream, Side from, std::uint64_t offset, const pcap::Segment& s);
-    void lose(Stream& stream, Side from, Gap why);
-    void compare(Half& half, std::uint64_t offset, std::string_view bytes);
-    void close(Flows::iterator at, std::int64_t time_us, End how);
-    void forget(Half& half);
-    bool is_tail(const Key& key, std::int64_t time_us) const;
+    Stream& open_stream(const Key& key, const pcap::Segment& segment);
+    void add_data(Stream& stream, Side from, const pcap::Segment& segment);
+    void deliver_buffered(Stream& stream, Side from, std::int64_t time_us);
+    void buffer_segment(Stream& stream, Side from, std::uint64_t offset, const pcap::Segment& segment);
+    void report_gap(Stream& stream, Side from, Gap reason);
+    void compare_retransmission(Direction& direction, std::uint64_t offset, std::string_view bytes);
+    void close(Flows::iterator flow, std::int64_t time_us, End end);
+    void release_buffer(Direction& direction);
+    bool is_late_segment(const Key& key, std::int64_t time_us) const;
 
     Limits limits_;
     Events& events_;
     Counters counters_;
     Flows flows_;
-    std::list<Key> by_age_;  // of the last segment, the oldest first
-    // Streams that have ended lately: what still comes of one is its tail, not a stream that begins midway.
-    std::unordered_map<Key, std::int64_t, Hash> gone_;
-    std::list<Key> gone_by_age_;
-    std::size_t held_ = 0;
-    StreamId last_ = 0;
+    std::list<Key> by_last_segment_;  // open streams in the order of their last segment, the oldest first
+    // End times of recently closed streams: later segments of one do not begin a new stream.
+    std::unordered_map<Key, std::int64_t, Hash> recently_closed_;
+    std::list<Key> closed_by_age_;
+    std::size_t buffered_bytes_ = 0;
+    StreamId last_id_ = 0;
 };
 
 }  // namespace sloestack::streams
--- a/tests/record/packet_test.cpp
+++ b/tests/record/packet_test.cpp
@@ -1,4 +1,4 @@
-// The packet decoder against libtins, link types, and every way in which a packet can be too short.
+// Compares the packet decoder with libtins, and tests link types and truncated or foreign packets.
 #include <gtest/gtest.h>
 #include <tins/dot1q.h>
 #include <tins/ethernetII.h>
@@ -31,9 +31,11 @@
     return s;
 }
 
-Skip decoded(int link, const std::string& bytes, Segment& out) { return decode(link, 5, bytes, out); }
+Skip decoded(int link_type, const std::string& bytes, Segment& out) {
+    return decode(link_type, 5, bytes, out);
+}
 
-TEST(Packet, WhatIsBuiltIsReadAsItWas) {
+TEST(Packet, DecodesWhatBuildProduces) {
     for (const bool v6 : {false, true})
         for (const std::uint16_t vlan : {0, 10, 4095}) {
             const auto s = sample(v6, vlan, "some bytes");
@@ -51,7 +53,7 @@
         }
 }
 
-// libtins is the second opinion: a few thousand packets of many forms.
+// Decodes random packets with libtins as an independent reference.
 TEST(Packet, AgreesWithLibtins) {
     emulator::Random random(11);
     for (int i = 0; i < 3000; ++i) {
@@ -78,31 +80,31 @@
     }
 }
 
-// Every prefix of a packet is cut or, from the end of the headers on, a segment with less payload than it
-// had.
-TEST(Packet, EveryPrefixIsToldApart) {
+// A prefix that ends within the headers is skipped as truncated; a longer one decodes to a segment whose
+// payload is shorter than its length.
+TEST(Packet, DistinguishesTruncatedHeadersFromTruncatedPayload) {
     for (const bool v6 : {false, true}) {
         const auto bytes = build(sample(v6, 10, "0123456789"));
-        const std::size_t heads = bytes.size() - 10;
+        const std::size_t header_bytes = bytes.size() - 10;
         for (std::size_t n = 0; n < bytes.size(); ++n) {
             Segment out;
             const auto part = bytes.substr(0, n);
-            const auto got = decoded(1, part, out);
-            if (n < heads) {
-                EXPECT_EQ(got, Skip::cut_head) << n;
+            const auto skip = decoded(1, part, out);
+            if (n < header_bytes) {
+                EXPECT_EQ(skip, Skip::cut_head) << n;
                 continue;
             }
-            ASSERT_EQ(got, Skip::none) << n;
-            EXPECT_EQ(out.payload.size(), n - heads);
+            ASSERT_EQ(skip, Skip::none) << n;
+            EXPECT_EQ(out.payload.size(), n - header_bytes);
             EXPECT_EQ(out.length, 10u);
         }
     }
 }
 
-TEST(Packet, LinkTypesLeadToTheSameSegment) {
+TEST(Packet, DecodesTheSameSegmentFromEveryLinkType) {
     const auto frame = build(sample(false, 0, "abc"));
     const auto ip = frame.substr(14);
-    const std::pair<int, std::string> forms[] = {
+    const std::pair<int, std::string> frames[] = {
         {0, std::string("\x02\0\0\0", 4) + ip},
         {108, std::string("\0\0\0\x02", 4) + ip},
         {12, ip},
@@ -111,34 +113,34 @@
         {113, std::string(14, '\0') + "\x08" + std::string(1, '\0') + ip},
         {276, "\x08" + std::string(19, '\0') + ip},
     };
-    for (const auto& [link, bytes] : forms) {
+    for (const auto& [link_type, bytes] : frames) {
         Segment out;
-        ASSERT_EQ(decoded(link, bytes, out), Skip::none) << link;
+        ASSERT_EQ(decoded(link_type, bytes, out), Skip::none) << link_type;
         EXPECT_EQ(out.payload, "abc");
-        EXPECT_TRUE(knows_link(link));
+        EXPECT_TRUE(is_link_type_supported(link_type));
     }
     Segment out;
     EXPECT_EQ(decoded(105, frame, out), Skip::unknown_link);
-    EXPECT_FALSE(knows_link(105));
+    EXPECT_FALSE(is_link_type_supported(105));
 }
 
-// The sum of 16-bit words that RFC 1071 asks for: 0xffff where the checksum among them is right.
-std::uint32_t sum(std::string_view bytes, std::uint32_t begin = 0) {
+// Returns the one's complement sum of 16-bit words (RFC 1071): 0xffff if the bytes include a valid checksum.
+std::uint32_t sum(std::string_view bytes, std::uint32_t initial = 0) {
     for (std::size_t i = 0; i < bytes.size(); ++i)
-        begin += static_cast<std::uint32_t>(static_cast<std::uint8_t>(bytes[i])) << (i % 2 ? 0 : 8);
-    while (begin >> 16) begin = (begin & 0xffff) + (begin >> 16);
-    return begin;
+        initial += static_cast<std::uint32_t>(static_cast<std::uint8_t>(bytes[i])) << (i % 2 ? 0 : 8);
+    while (initial >> 16) initial = (initial & 0xffff) + (initial >> 16);
+    return initial;
 }
 
-// Readers of captures mark wrong checksums, or drop the packet.
-TEST(Packet, ChecksumsAreRight) {
+// Programs that read captures flag packets with wrong checksums, or drop them.
+TEST(Packet, BuildsValidChecksums) {
     for (const bool v6 : {false, true})
         for (const std::size_t size : {0u, 1u, 2u, 1460u}) {
             const std::string payload(size, '\x5a');
             const auto frame = build(sample(v6, 0, payload));
             const auto ip = std::string_view(frame).substr(14);
-            const std::size_t head = v6 ? 40 : 20;
-            const auto tcp = ip.substr(head, 20 + size);
+            const std::size_t ip_header_bytes = v6 ? 40 : 20;
+            const auto tcp = ip.substr(ip_header_bytes, 20 + size);
             if (!v6) {
                 EXPECT_EQ(sum(ip.substr(0, 20)), 0xffffu);
             }
@@ -148,7 +150,7 @@
         }
 }
 
-TEST(Packet, OtherThingsAreNamed) {
+TEST(Packet, ReportsWhyAPacketIsSkipped) {
     Segment out;
     auto frame = build(sample(false, 0, "abc"));
     auto arp = frame;
@@ -160,10 +162,10 @@
     auto fragment = frame;
     fragment[14 + 6] = 0x20;
     EXPECT_EQ(decoded(1, fragment, out), Skip::fragment);
-    auto lies = frame;
-    lies[14 + 20 + 12] = static_cast<char>(0xf0);  // a TCP header longer than the packet
-    EXPECT_EQ(decoded(1, lies, out), Skip::malformed);
-    // Padding behind the datagram is none of the stream's.
+    auto bad_length = frame;
+    bad_length[14 + 20 + 12] = static_cast<char>(0xf0);  // a TCP header longer than the packet
+    EXPECT_EQ(decoded(1, bad_length, out), Skip::malformed);
+    // Padding after the datagram is not part of the payload.
     const auto padded = frame + std::string(20, 'x');
     ASSERT_EQ(decoded(1, padded, out), Skip::none);
     EXPECT_EQ(out.payload, "abc");
