--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -57,7 +57,7 @@
     conversation::RecordingSettings settings;
     settings.streams.max_buffered_bytes = settings.streams.max_buffered_bytes_per_stream = kMemoryLimitBytes;
     settings.streams.max_streams = 16;
-    settings.most_unfinished = kMemoryLimitBytes;
+    settings.max_incomplete_bytes = kMemoryLimitBytes;
     CheckingListener listener;
     try {
         conversation::Recording recording(file, "input", conversation::postgres(), settings, listener);
--- a/src/record/conversation/conversation.cpp
+++ b/src/record/conversation/conversation.cpp
@@ -32,7 +32,7 @@
 const Language& language(const std::string& name) {
     if (name == "postgres") return postgres();
     if (name == "tds") return tds();
-    throw std::invalid_argument("\"" + name + "\" is no dialect; there are postgres and tds");
+    throw std::invalid_argument("\"" + name + "\" is no dialect; valid are postgres and tds");
 }
 
 const char* to_text(Cause cause) {
@@ -49,26 +49,27 @@
     return "";
 }
 
-// A refusal or a failure on either side is the word of a proxy; an answer that never came, or another value,
-// is nobody's decision.
+// A rejection or failure in either response is a decision of a proxy and is the cause of the difference; a
+// missing response or a different value has no such cause.
 Verdict compare(const ResponseEvent& before, const ResponseEvent& after) {
     if (before.kind == after.kind && before.digest == after.digest && before.kind != Kind::none) return {};
-    // How much of an answer had come when its client called it off is chance.
+    // The bytes of an incomplete or canceled response depend on timing, and are not compared.
     if (before.kind == after.kind && (before.kind == Kind::none || before.kind == Kind::called_off))
         return {};
-    const auto said = [](const ResponseEvent& a) {
-        return std::string(to_text(a.kind)) + (a.code.empty() ? "" : " " + a.code);
+    const auto outcome = [](const ResponseEvent& response) {
+        return std::string(to_text(response.kind)) + (response.code.empty() ? "" : " " + response.code);
     };
-    if (after.kind == Kind::none) return {false, Cause::none, said(before) + " before, no answer after"};
-    if (before.kind == Kind::none) return {false, Cause::none, "no answer before, " + said(after) + " after"};
-    const auto what = said(before) + " before, " + said(after) + " after";
-    for (const auto& one : {after, before}) {
-        if (one.kind == Kind::refused) return {false, Cause::refused, what};
-        if (one.kind == Kind::failed) return {false, Cause::failed, what};
+    if (after.kind == Kind::none) return {false, Cause::none, outcome(before) + " before, no response after"};
+    if (before.kind == Kind::none)
+        return {false, Cause::none, "no response before, " + outcome(after) + " after"};
+    const auto difference = outcome(before) + " before, " + outcome(after) + " after";
+    for (const auto& response : {after, before}) {
+        if (response.kind == Kind::refused) return {false, Cause::refused, difference};
+        if (response.kind == Kind::failed) return {false, Cause::failed, difference};
     }
-    if (before.kind != after.kind) return {false, Cause::none, what};
+    if (before.kind != after.kind) return {false, Cause::none, difference};
     return {false, Cause::none,
-            "other bytes, " + std::to_string(before.digest.size) + " before and " +
+            "different bytes, " + std::to_string(before.digest.size) + " before and " +
                 std::to_string(after.digest.size) + " after"};
 }
 
--- a/tests/record/conversation_test.cpp
+++ b/tests/record/conversation_test.cpp
@@ -1,10 +1,10 @@
-// Requests and answers out of byte streams: split anywhere, cut anywhere, of any bytes.
+// Tests the PostgreSQL dialect with byte streams that are split, cut or corrupted anywhere.
 #include "conversation/conversation.h"
 
 #include <gtest/gtest.h>
 
 #include "emulator/values.h"
-#include "heard.h"
+#include "event_log.h"
 #include "pgwire/build.h"
 
 namespace {
@@ -33,150 +33,150 @@
     "INSERT INTO facts (code, data) VALUES ('a', '\\x00') RETURNING data /* "
     "id=2,c=shift-change,d=5000,k=kk,cluster=1,r=1 */");
 
-std::string refusal() {
+std::string rejection() {
     std::string out;
     pgwire::Builder(out).error_response("ERROR", "53300", "not now", 40).ready_for_query();
     return out;
 }
 
-const std::vector<std::string> kWhole = {"opened " + std::to_string(startup().size()),
-                                         "greeted",
-                                         "asked 0 1 roster-view  600000",
-                                         "answered 0 served ",
-                                         "asked 1 2 shift-change kk 5000000 repeat",
-                                         "answered 1 refused 53300 40000"};
+const std::vector<std::string> kEvents = {"opened " + std::to_string(startup().size()),
+                                          "greeted",
+                                          "asked 0 1 roster-view  600000",
+                                          "answered 0 served ",
+                                          "asked 1 2 shift-change kk 5000000 repeat",
+                                          "answered 1 refused 53300 40000"};
 
-TEST(Conversation, IsTheSameHoweverItsBytesAreSplit) {
+TEST(Conversation, ReportsTheSameEventsHoweverBytesAreSplit) {
     const auto answer = emulator::answer_of("value", false);
     for (const std::size_t step :
          {std::size_t{1}, std::size_t{2}, std::size_t{3}, std::size_t{7}, std::string::npos}) {
-        Talk t;
-        t.say(Side::client, startup(), step);
-        t.say(Side::server, greeting(), step);
-        t.say(Side::client, kRead, step);
-        t.say(Side::server, answer, step);
-        t.say(Side::client, kWrite, step);
-        t.say(Side::server, refusal(), step);
-        EXPECT_EQ(t.heard.log, kWhole) << "step " << step;
-        EXPECT_EQ(t.heard.digests[0], digest_of(answer)) << "step " << step;
+        DialectSession t;
+        t.send(Side::client, startup(), step);
+        t.send(Side::server, greeting(), step);
+        t.send(Side::client, kRead, step);
+        t.send(Side::server, answer, step);
+        t.send(Side::client, kWrite, step);
+        t.send(Side::server, rejection(), step);
+        EXPECT_EQ(t.events.lines, kEvents) << "step " << step;
+        EXPECT_EQ(t.events.digests[0], digest_of(answer)) << "step " << step;
         EXPECT_EQ(t.memory.held, 0u);
     }
 }
 
-TEST(Conversation, ALargeValuePassesWithoutBeingHeld) {
+TEST(Conversation, HashesLargeValuesWithoutBuffering) {
     const auto answer = emulator::answer_of(std::string(3'000'000, 'v'), false);
     for (const std::size_t step : {std::size_t{1000}, std::size_t{1460}, std::size_t{200'000}}) {
-        Talk t;
-        t.say(Side::client, startup() + kRead);
-        t.say(Side::server, greeting());
+        DialectSession t;
+        t.send(Side::client, startup() + kRead);
+        t.send(Side::server, greeting());
         std::size_t most = 0;
         for (std::size_t at = 0; at < answer.size(); at += step) {
             t.dialect->read(Side::server, std::string_view(answer).substr(at, step), 7);
             most = std::max(most, t.memory.held);
         }
-        ASSERT_EQ(t.heard.digests.size(), 1u);
-        EXPECT_EQ(t.heard.digests[0], digest_of(answer));
+        ASSERT_EQ(t.events.digests.size(), 1u);
+        EXPECT_EQ(t.events.digests[0], digest_of(answer));
         EXPECT_LT(most, 80'000u);
     }
 }
 
-// At every byte of the exchange the client's stream ends: before the request's last byte nothing is asked,
-// and the reason names where the end fell.
-TEST(Conversation, ACutAtAnyByteOfARequestIsNamed) {
+// The client's stream ends at each byte of a request: no request is reported, and the reason of the cut says
+// where in the message the stream ended.
+TEST(Conversation, ReportsWhereARequestWasCut) {
     const auto all = startup() + kRead;
     for (std::size_t n = startup().size(); n < all.size(); ++n) {
-        Talk t;
-        t.say(Side::client, all.substr(0, n));
+        DialectSession t;
+        t.send(Side::client, all.substr(0, n));
         t.dialect->over(9);
         const auto inside = n - startup().size();
         const std::string place = " " + std::to_string(startup().size()) + " ";
-        const auto& log = t.heard.log;
+        const auto& lines = t.events.lines;
         if (inside == 0) {
-            EXPECT_EQ(log.size(), 1u);
+            EXPECT_EQ(lines.size(), 1u);
             continue;
         }
-        EXPECT_EQ(log.back(), "cut client" + place +
-                                  (inside < 5 ? "inside a length word" : "inside a message") +
-                                  ": the stream ends");
+        EXPECT_EQ(lines.back(), "cut client" + place +
+                                    (inside < 5 ? "inside a length word" : "inside a message") +
+                                    ": the stream ends");
     }
 }
 
-TEST(Conversation, ACutAtAnyByteOfAnAnswerLeavesItWithoutOne) {
+TEST(Conversation, ReportsNoResponseIfItWasCut) {
     const auto answer = emulator::answer_of("value", false);
     for (std::size_t n = 0; n < answer.size(); ++n) {
-        Talk t;
-        t.say(Side::client, startup() + kRead);
-        t.say(Side::server, greeting() + answer.substr(0, n));
+        DialectSession t;
+        t.send(Side::client, startup() + kRead);
+        t.send(Side::server, greeting() + answer.substr(0, n));
         t.dialect->over(9);
-        EXPECT_EQ(t.heard.log.back(), "answered 0 none ") << n;
+        EXPECT_EQ(t.events.lines.back(), "answered 0 none ") << n;
     }
-    // A last word needs no ReadyForQuery: a fatal error tells what became of the request.
-    Talk t;
-    t.say(Side::client, startup() + kRead);
+    // A fatal error is not followed by ReadyForQuery; the request is reported as failed.
+    DialectSession t;
+    t.send(Side::client, startup() + kRead);
     std::string fatal;
     pgwire::Builder(fatal).error_response("FATAL", "57P01", "stopping");
-    t.say(Side::server, greeting() + fatal);
+    t.send(Side::server, greeting() + fatal);
     t.dialect->over(9);
-    EXPECT_EQ(t.heard.log.back(), "answered 0 failed 57P01");
+    EXPECT_EQ(t.events.lines.back(), "answered 0 failed 57P01");
 }
 
-TEST(Conversation, EncryptionDeclinedPipelinesAndLivenessChecks) {
-    Talk t;
-    t.say(Side::client, std::string("\0\0\0\x08\x04\xd2\x16\x2f", 8));
-    t.say(Side::server, "N");
-    t.say(Side::client, startup() + kRead + query("") + kWrite);
+TEST(Conversation, ReadsDeclinedEncryptionPipelinesAndLivenessChecks) {
+    DialectSession t;
+    t.send(Side::client, std::string("\0\0\0\x08\x04\xd2\x16\x2f", 8));
+    t.send(Side::server, "N");
+    t.send(Side::client, startup() + kRead + query("") + kWrite);
     std::string rest;
     pgwire::Builder(rest).empty_query_response().ready_for_query();
-    t.say(Side::server, greeting() + emulator::answer_of("x", false) + rest + refusal());
-    const std::vector<std::string> wanted = {"opened " + std::to_string(startup().size()),
-                                             "asked 0 1 roster-view  600000 ahead",
-                                             "asked 1    0 ahead",
-                                             "asked 2 2 shift-change kk 5000000 ahead repeat",
-                                             "greeted",
-                                             "answered 0 served ",
-                                             "answered 1 empty ",
-                                             "answered 2 refused 53300 40000"};
-    EXPECT_EQ(t.heard.log, wanted);
+    t.send(Side::server, greeting() + emulator::answer_of("x", false) + rest + rejection());
+    const std::vector<std::string> expected = {"opened " + std::to_string(startup().size()),
+                                               "asked 0 1 roster-view  600000 ahead",
+                                               "asked 1    0 ahead",
+                                               "asked 2 2 shift-change kk 5000000 ahead repeat",
+                                               "greeted",
+                                               "answered 0 served ",
+                                               "answered 1 empty ",
+                                               "answered 2 refused 53300 40000"};
+    EXPECT_EQ(t.events.lines, expected);
 }
 
-TEST(Conversation, WhatIsNoProtocolEndsThatDirection) {
-    Talk t;
-    t.say(Side::client, "GET / HTTP/1.1\r\n\r\n");
-    ASSERT_EQ(t.heard.log.size(), 1u);
-    EXPECT_EQ(t.heard.log[0].substr(0, 35), "cut client 0 not of the protocol: a");
-    Talk u;
-    u.say(Side::client, startup() + std::string("P\0\0\0\x04", 5));
-    EXPECT_EQ(u.heard.log.back().substr(0, 10), "cut client");
-    // An answer beyond any bound is cut at its head, not waited for.
-    Talk v;
-    v.say(Side::client, startup() + kRead);
-    v.say(Side::server, greeting() + std::string("D\x7f\xff\xff\xff", 5));
-    EXPECT_EQ(v.heard.log.back().substr(0, 10), "cut server");
+TEST(Conversation, CutsADirectionAtAMalformedMessage) {
+    DialectSession t;
+    t.send(Side::client, "GET / HTTP/1.1\r\n\r\n");
+    ASSERT_EQ(t.events.lines.size(), 1u);
+    EXPECT_EQ(t.events.lines[0].substr(0, 35), "cut client 0 not of the protocol: a");
+    DialectSession u;
+    u.send(Side::client, startup() + std::string("P\0\0\0\x04", 5));
+    EXPECT_EQ(u.events.lines.back().substr(0, 10), "cut client");
+    // A response whose length exceeds the limit is cut at its header.
+    DialectSession v;
+    v.send(Side::client, startup() + kRead);
+    v.send(Side::server, greeting() + std::string("D\x7f\xff\xff\xff", 5));
+    EXPECT_EQ(v.events.lines.back().substr(0, 10), "cut server");
 }
 
-TEST(Conversation, WhatIsHeldIsBounded) {
-    Talk t;
+TEST(Conversation, BoundsBufferedBytes) {
+    DialectSession t;
     t.memory.most = 100;
-    t.say(Side::client, startup());
-    t.say(Side::client, query(std::string(5000, 'x')), 10);
-    EXPECT_EQ(t.heard.log.back(),
-              "cut client " + std::to_string(startup().size()) + " more is not whole yet than may be held");
+    t.send(Side::client, startup());
+    t.send(Side::client, query(std::string(5000, 'x')), 10);
+    EXPECT_EQ(t.events.lines.back(), "cut client " + std::to_string(startup().size()) +
+                                         " incomplete messages exceed the memory limit");
     EXPECT_EQ(t.memory.held, 0u);
 }
 
-TEST(Conversation, AnyBytesEndInNothingWorseThanACut) {
+TEST(Conversation, SurvivesCorruptedBytes) {
     emulator::Random random(5);
-    const std::string good[] = {startup(), greeting(), kRead, kWrite, emulator::answer_of("v", true),
-                                refusal()};
+    const std::string good[] = {startup(),  greeting(), kRead, kWrite, emulator::answer_of("v", true),
+                                rejection()};
     for (int i = 0; i < 3000; ++i) {
-        Talk t;
+        DialectSession t;
         for (int part = 0; part < 6; ++part) {
             auto bytes = good[random.next() % 6];
             for (int k = 0; k < 2; ++k)
                 bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
             if (random.next() % 2) bytes.resize(random.next() % (bytes.size() + 1));
-            t.say(random.next() % 2 ? Side::client : Side::server, bytes,
-                  static_cast<std::size_t>(random.between(1, 40)));
+            t.send(random.next() % 2 ? Side::client : Side::server, bytes,
+                   static_cast<std::size_t>(random.between(1, 40)));
         }
         t.dialect->lost(Side::client, 9, "a hole");
         t.dialect->over(9);
@@ -185,19 +185,19 @@
     }
 }
 
-TEST(Conversation, RenamesIdAndKeyAndNothingElse) {
+TEST(Conversation, RenamesOnlyIdAndKey) {
     const auto renamed = postgres().renamed(kWrite, "fresh-id", "fresh-key");
-    auto wanted = kWrite;
-    wanted.replace(wanted.find("id=2"), 4, "id=fresh-id");
-    wanted.replace(wanted.find("k=kk"), 4, "k=fresh-key");
-    wanted[3] = static_cast<char>((wanted.size() - 1) >> 8);
-    wanted[4] = static_cast<char>(wanted.size() - 1);
-    EXPECT_EQ(renamed, wanted);
+    auto expected = kWrite;
+    expected.replace(expected.find("id=2"), 4, "id=fresh-id");
+    expected.replace(expected.find("k=kk"), 4, "k=fresh-key");
+    expected[3] = static_cast<char>((expected.size() - 1) >> 8);
+    expected[4] = static_cast<char>(expected.size() - 1);
+    EXPECT_EQ(renamed, expected);
     EXPECT_THROW(postgres().renamed("no message", "a", "b"), std::invalid_argument);
     EXPECT_THROW(postgres().renamed(query("SELECT 1"), "a", "b"), std::invalid_argument);
 }
 
-TEST(Verdict, OnlyWhatAProxyDecidedHasACause) {
+TEST(Verdict, NamesACauseOnlyForDecisionsOfAProxy) {
     const auto of = [](Kind kind, std::uint64_t low, std::string code = {}) {
         ResponseEvent a;
         a.kind = kind;
--- a/tests/record/recording_test.cpp
+++ b/tests/record/recording_test.cpp
@@ -1,4 +1,4 @@
-// Whole files: every damage that a capture can have is reported, and all other streams play.
+// Tests the reading of capture files: each kind of damage is reported, and does not affect other streams.
 #include "conversation/recording.h"
 
 #include <gtest/gtest.h>
@@ -16,29 +16,29 @@
 using namespace sloestack;
 using emulator::Damage;
 
-struct Nobody final : conversation::Listener {
+struct NullListener final : conversation::Listener {
     void asked(const conversation::RequestEvent&) override {}
     void answered(const conversation::ResponseEvent&) override {}
 };
 
-struct Scratch {
+struct TemporaryFile {
     std::string path = "/tmp/sloestack-recording-" + std::to_string(getpid()) + ".pcap";
-    ~Scratch() { std::filesystem::remove(path); }
+    ~TemporaryFile() { std::filesystem::remove(path); }
 };
 
-struct Read {
+struct ReadResult {
     conversation::Figures figures;
     std::string fault;
 };
-Read read(const std::string& path, const conversation::RecordingSettings& settings = {}) {
-    Nobody nobody;
-    conversation::Recording recording(path, conversation::postgres(), settings, nobody);
+ReadResult read(const std::string& path, const conversation::RecordingSettings& settings = {}) {
+    NullListener listener;
+    conversation::Recording recording(path, conversation::postgres(), settings, listener);
     while (recording.step()) {
     }
     return {recording.figures(), recording.fault()};
 }
 
-emulator::Made made(const std::string& path, std::vector<Damage> damage) {
+emulator::Made make_capture(const std::string& path, std::vector<Damage> damage) {
     emulator::MakeSettings settings;
     settings.length_us = 12'000'000;
     settings.rate = 60;
@@ -50,27 +50,27 @@
     return out;
 }
 
-TEST(Recording, AnUndamagedFileIsReadWhole) {
-    Scratch scratch;
-    const auto of = made(scratch.path, {});
-    const auto got = read(scratch.path);
-    EXPECT_EQ(got.figures.requests, of.requests);
-    EXPECT_EQ(got.figures.streams, of.connections);
-    EXPECT_EQ(got.figures.answers.at("served"), of.requests);
-    EXPECT_EQ(got.figures.cuts + got.figures.backwards + got.figures.skipped.size(), 0u);
-    EXPECT_EQ(got.fault, "");
-    // Equal seeds make equal files.
-    Scratch again;
+TEST(Recording, ReadsAnUndamagedFileCompletely) {
+    TemporaryFile file;
+    const auto expected = make_capture(file.path, {});
+    const auto result = read(file.path);
+    EXPECT_EQ(result.figures.requests, expected.requests);
+    EXPECT_EQ(result.figures.streams, expected.connections);
+    EXPECT_EQ(result.figures.answers.at("served"), expected.requests);
+    EXPECT_EQ(result.figures.cuts + result.figures.backwards + result.figures.skipped.size(), 0u);
+    EXPECT_EQ(result.fault, "");
+    // The same seed produces the same file.
+    TemporaryFile again;
     again.path += ".again";
-    made(again.path, {});
-    std::ifstream a(scratch.path), b(again.path);
+    make_capture(again.path, {});
+    std::ifstream a(file.path), b(again.path);
     EXPECT_TRUE(std::equal(std::istreambuf_iterator<char>(a), {}, std::istreambuf_iterator<char>(b), {}));
 }
 
 struct Case {
     Damage damage;
     std::uint64_t cuts;
-    const char* reason;  // in one of them
+    const char* reason;  // contained in the reason of at least one cut
 };
 const Case kCases[] = {{Damage::cut_head, 2, "its beginning is not in the file"},
                        {Damage::cut_tail, 1, "inside a message: the stream ends"},
@@ -95,28 +95,29 @@
                        {Damage::backwards_2s, 0, ""},
                        {Damage::backwards_stream, 0, ""}};
 
-TEST(Recording, EveryDamageIsNamedAndTheOtherStreamsPlay) {
-    Scratch scratch;
-    made(scratch.path, {});
-    const auto whole = read(scratch.path).figures;
+TEST(Recording, ReportsEachDamageAndReadsTheOtherStreams) {
+    TemporaryFile file;
+    make_capture(file.path, {});
+    const auto whole = read(file.path).figures;
     for (const auto& c : kCases) {
-        ASSERT_TRUE(made(scratch.path, {c.damage}).not_done.empty());
-        const auto f = read(scratch.path).figures;
+        ASSERT_TRUE(make_capture(file.path, {c.damage}).not_done.empty());
+        const auto f = read(file.path).figures;
         const auto what = "damage " + std::to_string(static_cast<int>(c.damage));
         EXPECT_EQ(f.cuts, c.cuts) << what;
-        bool named = *c.reason == '\0';
-        for (const auto& cut : f.cut) named = named || cut.reason.find(c.reason) != std::string::npos;
-        EXPECT_TRUE(named) << what;
-        // One stream of twelve or so is struck: the others lose nothing.
+        bool is_reported = *c.reason == '\0';
+        for (const auto& cut : f.cut)
+            is_reported = is_reported || cut.reason.find(c.reason) != std::string::npos;
+        EXPECT_TRUE(is_reported) << what;
+        // One of about twelve streams is damaged; the others are read completely.
         EXPECT_GE(f.answers.at("served"), whole.requests * 8 / 10) << what;
     }
 }
 
-TEST(Recording, TheFiguresTellOfWhatIsNoCut) {
-    Scratch scratch;
+TEST(Recording, CountsDamageThatCutsNoStream) {
+    TemporaryFile file;
     const auto figures = [&](Damage d) {
-        made(scratch.path, {d});
-        return read(scratch.path).figures;
+        make_capture(file.path, {d});
+        return read(file.path).figures;
     };
     EXPECT_EQ(figures(Damage::retransmit_other).tcp.conflicting, 1u);
     EXPECT_EQ(figures(Damage::half_open).tcp.half_open, 1u);
@@ -130,99 +131,102 @@
     EXPECT_GT(figures(Damage::backwards_stream).backwards, 10u);
 }
 
-TEST(Recording, ATruncatedLastRecordIsReportedAndTheRestCounts) {
-    Scratch scratch;
-    const auto of = made(scratch.path, {});
-    std::filesystem::resize_file(scratch.path, std::filesystem::file_size(scratch.path) - 7);
-    const auto got = read(scratch.path);
-    EXPECT_NE(got.fault.find("truncated"), std::string::npos) << got.fault;
-    EXPECT_EQ(got.figures.requests, of.requests);
+TEST(Recording, ReportsATruncatedLastRecordAndReadsTheRest) {
+    TemporaryFile file;
+    const auto expected = make_capture(file.path, {});
+    std::filesystem::resize_file(file.path, std::filesystem::file_size(file.path) - 7);
+    const auto result = read(file.path);
+    EXPECT_NE(result.fault.find("truncated"), std::string::npos) << result.fault;
+    EXPECT_EQ(result.figures.requests, expected.requests);
 }
 
-TEST(Recording, OnlyTheServersAskedForArePlayed) {
-    Scratch scratch;
-    made(scratch.path, {});
+TEST(Recording, ReadsOnlyStreamsToTheGivenServers) {
+    TemporaryFile file;
+    make_capture(file.path, {});
     conversation::RecordingSettings settings;
     settings.servers.emplace_back();
     settings.servers[0].address = {10, 0, 0, 99};
     settings.servers[0].port = 5433;
-    const auto f = read(scratch.path, settings).figures;
+    const auto f = read(file.path, settings).figures;
     EXPECT_EQ(f.requests, 0u);
     EXPECT_EQ(f.skipped.at("stream to another server"), f.streams);
 }
 
-// Both precisions and both byte orders, and pcapng; written byte by byte, since libpcap writes its own order
-// only.
-TEST(Recording, FileFormsAreToldApart) {
-    Scratch scratch;
-    struct Kept final : pcap::Sink {
+// Both timestamp precisions, both byte orders, and pcapng. The files are built byte by byte, since libpcap
+// writes only the byte order of the host.
+TEST(Recording, ReadsEveryFileFormat) {
+    TemporaryFile file;
+    struct FrameStore final : pcap::Sink {
         std::vector<std::pair<std::int64_t, std::string>> frames;
         void frame(std::int64_t t, std::string_view b, std::uint32_t) override { frames.emplace_back(t, b); }
-    } kept;
+    } store;
     emulator::MakeSettings settings;
     settings.length_us = 500'000;
-    const auto of = emulator::make(settings, kept);
-    const auto put = [](std::string& out, std::uint64_t value, int bytes, bool big) {
+    const auto expected = emulator::make(settings, store);
+    const auto append = [](std::string& out, std::uint64_t value, int bytes, bool big_endian) {
         for (int i = 0; i < bytes; ++i)
-            out.push_back(static_cast<char>(value >> (8 * (big ? bytes - 1 - i : i))));
+            out.push_back(static_cast<char>(value >> (8 * (big_endian ? bytes - 1 - i : i))));
     };
-    for (const bool big : {false, true}) {
-        for (const bool nano : {false, true}) {
+    for (const bool big_endian : {false, true}) {
+        for (const bool nanoseconds : {false, true}) {
             std::string out;
-            put(out, nano ? 0xa1b23c4d : 0xa1b2c3d4, 4, big);
-            put(out, 2, 2, big), put(out, 4, 2, big), put(out, 0, 8, big), put(out, 262144, 4, big),
-                put(out, 1, 4, big);
-            for (const auto& [time, bytes] : kept.frames) {
-                put(out, static_cast<std::uint64_t>(time / 1'000'000'000), 4, big);
-                put(out, static_cast<std::uint64_t>(time % 1'000'000'000 / (nano ? 1 : 1000)), 4, big);
-                put(out, bytes.size(), 4, big), put(out, bytes.size(), 4, big);
+            append(out, nanoseconds ? 0xa1b23c4d : 0xa1b2c3d4, 4, big_endian);
+            append(out, 2, 2, big_endian), append(out, 4, 2, big_endian), append(out, 0, 8, big_endian),
+                append(out, 262144, 4, big_endian), append(out, 1, 4, big_endian);
+            for (const auto& [time, bytes] : store.frames) {
+                append(out, static_cast<std::uint64_t>(time / 1'000'000'000), 4, big_endian);
+                append(out, static_cast<std::uint64_t>(time % 1'000'000'000 / (nanoseconds ? 1 : 1000)), 4,
+                       big_endian);
+                append(out, bytes.size(), 4, big_endian), append(out, bytes.size(), 4, big_endian);
                 out += bytes;
             }
-            std::ofstream(scratch.path, std::ios::binary) << out;
-            const auto got = read(scratch.path);
-            EXPECT_EQ(got.figures.requests, of.requests) << big << nano;
-            EXPECT_EQ(got.figures.first_us,
-                      settings.begins_us + (*got.figures.first_us - settings.begins_us));
-            EXPECT_EQ(*got.figures.first_us, kept.frames[0].first / 1000);
+            std::ofstream(file.path, std::ios::binary) << out;
+            const auto result = read(file.path);
+            EXPECT_EQ(result.figures.requests, expected.requests) << big_endian << nanoseconds;
+            EXPECT_EQ(result.figures.first_us,
+                      settings.begins_us + (*result.figures.first_us - settings.begins_us));
+            EXPECT_EQ(*result.figures.first_us, store.frames[0].first / 1000);
         }
         std::string out;  // pcapng: section header, interface, enhanced packets
-        put(out, 0x0a0d0d0a, 4, big), put(out, 28, 4, big), put(out, 0x1a2b3c4d, 4, big), put(out, 1, 2, big),
-            put(out, 0, 2, big), put(out, ~0ull, 8, big), put(out, 28, 4, big);
-        put(out, 1, 4, big), put(out, 20, 4, big), put(out, 1, 2, big), put(out, 0, 2, big),
-            put(out, 262144, 4, big), put(out, 20, 4, big);
-        for (const auto& [time, bytes] : kept.frames) {
+        append(out, 0x0a0d0d0a, 4, big_endian), append(out, 28, 4, big_endian),
+            append(out, 0x1a2b3c4d, 4, big_endian), append(out, 1, 2, big_endian),
+            append(out, 0, 2, big_endian), append(out, ~0ull, 8, big_endian), append(out, 28, 4, big_endian);
+        append(out, 1, 4, big_endian), append(out, 20, 4, big_endian), append(out, 1, 2, big_endian),
+            append(out, 0, 2, big_endian), append(out, 262144, 4, big_endian), append(out, 20, 4, big_endian);
+        for (const auto& [time, bytes] : store.frames) {
             const auto padded = (bytes.size() + 3) / 4 * 4;
             const auto us = static_cast<std::uint64_t>(time / 1000);
-            put(out, 6, 4, big), put(out, 32 + padded, 4, big), put(out, 0, 4, big),
-                put(out, us >> 32, 4, big), put(out, us & 0xffffffff, 4, big), put(out, bytes.size(), 4, big),
-                put(out, bytes.size(), 4, big);
+            append(out, 6, 4, big_endian), append(out, 32 + padded, 4, big_endian),
+                append(out, 0, 4, big_endian), append(out, us >> 32, 4, big_endian),
+                append(out, us & 0xffffffff, 4, big_endian), append(out, bytes.size(), 4, big_endian),
+                append(out, bytes.size(), 4, big_endian);
             out += bytes + std::string(padded - bytes.size(), '\0');
-            put(out, 32 + padded, 4, big);
+            append(out, 32 + padded, 4, big_endian);
         }
-        std::ofstream(scratch.path, std::ios::binary) << out;
-        EXPECT_EQ(read(scratch.path).figures.requests, of.requests) << "pcapng " << big;
+        std::ofstream(file.path, std::ios::binary) << out;
+        EXPECT_EQ(read(file.path).figures.requests, expected.requests) << "pcapng " << big_endian;
     }
 }
 
-TEST(Recording, WhatIsNoCaptureIsRefusedWithASentence) {
-    Scratch scratch;
-    Nobody nobody;
-    std::ofstream(scratch.path) << "not a capture at all, but long enough to be read as one";
-    EXPECT_THROW(conversation::Recording(scratch.path, conversation::postgres(), {}, nobody),
+TEST(Recording, RejectsFilesThatAreNotCaptures) {
+    TemporaryFile file;
+    NullListener listener;
+    std::ofstream(file.path) << "not a capture at all, but long enough to be read as one";
+    EXPECT_THROW(conversation::Recording(file.path, conversation::postgres(), {}, listener),
                  pcap::CaptureFileError);
-    EXPECT_THROW(conversation::Recording(scratch.path + ".none", conversation::postgres(), {}, nobody),
+    EXPECT_THROW(conversation::Recording(file.path + ".none", conversation::postgres(), {}, listener),
                  pcap::CaptureFileError);
     std::string wifi("\xd4\xc3\xb2\xa1\2\0\4\0\0\0\0\0\0\0\0\0\0\0\4\0\x69\0\0\0", 24);
-    std::ofstream(scratch.path, std::ios::binary) << wifi;
+    std::ofstream(file.path, std::ios::binary) << wifi;
     try {
-        conversation::Recording(scratch.path, conversation::postgres(), {}, nobody);
+        conversation::Recording(file.path, conversation::postgres(), {}, listener);
         FAIL();
     } catch (const pcap::CaptureFileError& error) {
         EXPECT_NE(std::string(error.what()).find("link type"), std::string::npos);
     }
 }
 
-TEST(Histogram, QuantilesAreRightToOneInThirtyTwo) {
+TEST(Histogram, QuantilesHaveAnErrorOfAtMostOneInThirtyTwo) {
     histogram::Histogram h;
     EXPECT_EQ(h.quantile(0.5), 0);
     for (int i = 1; i <= 100'000; ++i) h.add(i);
