--- a/src/record/replay/replay.cpp
+++ b/src/record/replay/replay.cpp
@@ -8,229 +8,234 @@
 
 using conversation::Kind;
 using conversation::ResponseEvent;
-using schedule::Fate;
-
-constexpr Micros kAhead = 500'000;  // of the run's time, that the file is read ahead: more only costs memory
-constexpr int kPacketsAtOnce = 1000;  // of one turn: reading must not make sends late
-constexpr int kStepsAtOnce = 512;     // sends of one turn, then answers are read again
-constexpr std::size_t kMostUnread = 8 * 1024 * 1024;
-constexpr Micros kFirstRetry = 20'000, kMostRetry = 500'000;  // to reach a proxy that is down
-constexpr Micros kGrace = 1'000'000;  // beyond a request's own time, in which a proxy still has to answer
-constexpr Micros kNoDeadline = 10'000'000;  // for a request that states none
-
-// Tickets carry what they stand for: 8 bits of the round, 32 of the connection, 24 of the number on it.
+using schedule::Outcome;
+
+constexpr Micros kReadAhead = 500'000;  // how far ahead of the run the file is read; more only costs memory
+constexpr int kMaxPacketsPerIteration = 1000;  // bounds the time spent reading, which must not delay requests
+constexpr int kMaxStepsPerIteration = 512;     // steps played before responses are read again
+constexpr std::size_t kMaxReceiveBufferBytes = 8 * 1024 * 1024;
+constexpr Micros kMinReconnectDelay = 20'000, kMaxReconnectDelay = 500'000;  // to a proxy that is down
+constexpr Micros kResponseGrace = 1'000'000;     // wait for a response after the request's own deadline
+constexpr Micros kDefaultDeadline = 10'000'000;  // for a request that does not state one
+
+// A ticket consists of the round (8 bits), the connection (32 bits) and the number of the request on it (24
+// bits).
 constexpr int kNumberBits = 24, kConnectionBits = 32;
 
 }  // namespace
 
-// ---- one live connection ----
-class Replay::Live final : public net::ConnectionEvents, private conversation::Listener {
+// ---- live connection ----
+class Replay::LiveConnection final : public net::ConnectionEvents, private conversation::Listener {
 public:
-    Live(Replay& of, std::uint64_t connection, std::string opening)
-        : of_(of),
+    LiveConnection(Replay& replay, std::uint64_t connection, std::string startup_messages)
+        : replay_(replay),
           connection_(connection),
-          opening_(std::move(opening)),
-          backoff_(kFirstRetry, kMostRetry, connection) {}
-    ~Live() { end(writer::Side::client, false); }
+          startup_messages_(std::move(startup_messages)),
+          backoff_(kMinReconnectDelay, kMaxReconnectDelay, connection) {}
+    ~LiveConnection() { close_transport(writer::Side::client, false); }
 
     void open() {
-        retry_.clear();
-        number_ = ++of_.opened_live_;
-        broken_ = false;
-        up_ = heard_ = false;
-        dialect_ = of_.language_.begin(number_, of_.memory_, *this);
-        link_ = net::Connection::open(of_.loop_, of_.settings_.to, kMostUnread, *this);
-        if (!link_) again();
+        reconnect_timer_.clear();
+        number_ = ++replay_.opened_connections_;
+        is_disconnected_ = false;
+        is_connected_ = has_partial_response_ = false;
+        dialect_ = replay_.language_.begin(number_, replay_.memory_, *this);
+        transport_ =
+            net::Connection::open(replay_.loop_, replay_.settings_.to, kMaxReceiveBufferBytes, *this);
+        if (!transport_) schedule_reconnect();
     }
-    void ask(Ticket ticket) {
-        waiting_.push_back(ticket);
-        flush();
-        renew_limit();
+    void add_request(Ticket ticket) {
+        unsent_.push_back(ticket);
+        send_unsent();
+        update_deadline();
     }
-    bool idle() const { return sent_.empty() && waiting_.empty(); }
-    bool broken() const { return broken_; }
-    // No more is asked on it: it goes once all is answered.
-    void finish() {
-        finishing_ = true;
-        if (idle()) of_.close(connection_);
+    bool is_idle() const { return sent_.empty() && unsent_.empty(); }
+    bool is_disconnected() const { return is_disconnected_; }
+    // No more requests follow: closes the connection as soon as all are answered.
+    void finish_when_idle() {
+        is_finishing_ = true;
+        if (is_idle()) replay_.close(connection_);
     }
 
     void connected() override {
-        up_ = true;
-        ++of_.report_.connections;
-        if (of_.out_)
-            of_.out_->open(number_, pcap::endpoint_of(link_->local_address()),
-                           pcap::endpoint_of(of_.settings_.to), of_.deadlines_.now());
-        write(opening_);
+        is_connected_ = true;
+        ++replay_.report_.connections;
+        if (replay_.capture_)
+            replay_.capture_->open(number_, pcap::endpoint_of(transport_->local_address()),
+                                   pcap::endpoint_of(replay_.settings_.to), replay_.deadlines_.now());
+        write(startup_messages_);
     }
     void received() override {
-        const auto now = of_.deadlines_.now();
-        // Read before it is let go: the dialect reads it where it stands.
-        const auto bytes = link_->peek();
-        if (of_.out_) of_.out_->data(number_, writer::Side::server, bytes, now);
+        const auto now = replay_.deadlines_.now();
+        // The dialect parses the bytes in place, so they are consumed only afterwards.
+        const auto bytes = transport_->peek();
+        if (replay_.capture_) replay_.capture_->data(number_, writer::Side::server, bytes, now);
         const auto size = bytes.size();
-        heard_ = true;
+        has_partial_response_ = true;
         dialect_->read(conversation::Side::server, bytes, now);
-        if (link_) link_->consume(size);
-        renew_limit();
-        if (finishing_ && idle()) of_.close(connection_);
+        if (transport_) transport_->consume(size);
+        update_deadline();
+        if (is_finishing_ && is_idle()) replay_.close(connection_);
     }
-    void ended(net::ConnectionEnd how) override {
-        lose(writer::Side::server, how == net::ConnectionEnd::error);
+    void ended(net::ConnectionEnd end) override {
+        handle_disconnect(writer::Side::server, end == net::ConnectionEnd::error);
     }
 
 private:
     void greeted(conversation::ConnectionId, Time, const conversation::Digest&) override {
         backoff_.reset();
-        heard_ = false;
-        flush();
+        has_partial_response_ = false;
+        send_unsent();
     }
     void asked(const conversation::RequestEvent&) override {}
     void answered(const ResponseEvent& a) override {
         if (sent_.empty()) return;
         const auto ticket = sent_.front();
         sent_.pop_front();
-        heard_ = false;
-        if (std::exchange(send_again_, false) && a.kind == Kind::none) {
-            of_.requests_.at(ticket).resent = true;
-            ++of_.report_.resent;
-            waiting_.push_front(ticket);
+        has_partial_response_ = false;
+        if (std::exchange(resend_read_, false) && a.kind == Kind::none) {
+            replay_.requests_.at(ticket).resent = true;
+            ++replay_.report_.resent;
+            unsent_.push_front(ticket);
             return;
         }
-        of_.live_answer(ticket, a);
+        replay_.add_live_response(ticket, a);
     }
 
     void write(std::string_view bytes) {
-        const auto now = of_.deadlines_.now();
-        if (of_.out_) of_.out_->data(number_, writer::Side::client, bytes, now);
+        const auto now = replay_.deadlines_.now();
+        if (replay_.capture_) replay_.capture_->data(number_, writer::Side::client, bytes, now);
         dialect_->read(conversation::Side::client, bytes, now);
-        link_->write(bytes);
+        transport_->write(bytes);
     }
-    void flush() {
-        while (!waiting_.empty() && link_ && up_ && dialect_->greeted()) {
-            const auto ticket = waiting_.front();
-            waiting_.pop_front();
-            const auto found = of_.requests_.find(ticket);
-            if (found == of_.requests_.end()) continue;
+    void send_unsent() {
+        while (!unsent_.empty() && transport_ && is_connected_ && dialect_->greeted()) {
+            const auto ticket = unsent_.front();
+            unsent_.pop_front();
+            const auto found = replay_.requests_.find(ticket);
+            if (found == replay_.requests_.end()) continue;
             auto& request = found->second;
-            request.sent_at = of_.deadlines_.now();
+            request.sent_at = replay_.deadlines_.now();
             sent_.push_back(ticket);
             if (!request.resent) {
-                ++of_.report_.sent;
-                ++of_.report_.classes[request.request_class].sent;
-                if (of_.settings_.checker) of_.settings_.checker(request, nullptr);
+                ++replay_.report_.sent;
+                ++replay_.report_.classes[request.request_class].sent;
+                if (replay_.settings_.checker) replay_.settings_.checker(request, nullptr);
             }
             write(request.bytes);
         }
     }
 
-    // A client waits as long as it said, and a little; then it goes away.
-    void renew_limit() {
-        const auto limit_of = [&](Ticket ticket, bool sent) -> Time {
-            const auto found = of_.requests_.find(ticket);
-            if (found == of_.requests_.end()) return of_.deadlines_.now();
-            const auto& r = found->second;
-            const auto left = r.left > 0 ? r.left : kNoDeadline;
-            return sent ? r.sent_at + left + kGrace : r.due + left;
+    // Sets the deadline of the oldest request: for its response if it was sent, and otherwise for sending it.
+    void update_deadline() {
+        const auto deadline_of = [&](Ticket ticket, bool is_sent) -> Time {
+            const auto found = replay_.requests_.find(ticket);
+            if (found == replay_.requests_.end()) return replay_.deadlines_.now();
+            const auto& request = found->second;
+            const auto left = request.left > 0 ? request.left : kDefaultDeadline;
+            return is_sent ? request.sent_at + left + kResponseGrace : request.due + left;
         };
         if (!sent_.empty())
-            return limit_.set(of_.deadlines_, limit_of(sent_.front(), true), [this] { give_up(); });
-        if (!waiting_.empty())
-            return limit_.set(of_.deadlines_,
-                              std::max(of_.deadlines_.now(), limit_of(waiting_.front(), false)),
-                              [this] { expire(); });
-        limit_.clear();
+            return deadline_.set(replay_.deadlines_, deadline_of(sent_.front(), true),
+                                 [this] { on_response_timeout(); });
+        if (!unsent_.empty())
+            return deadline_.set(replay_.deadlines_,
+                                 std::max(replay_.deadlines_.now(), deadline_of(unsent_.front(), false)),
+                                 [this] { on_send_timeout(); });
+        deadline_.clear();
     }
-    void give_up() { lose(writer::Side::client, false); }
-    // It could not be sent in its time, so it never ran.
-    void expire() {
-        if (!waiting_.empty()) {
-            const auto ticket = waiting_.front();
-            waiting_.pop_front();
-            // One that had been sent before its connection closed is a request without an answer.
-            if (const auto found = of_.requests_.find(ticket);
-                found != of_.requests_.end() && found->second.resent) {
-                of_.live_answer(ticket, {});
+    void on_response_timeout() { handle_disconnect(writer::Side::client, false); }
+    // The request could not be sent before its deadline, so it never ran.
+    void on_send_timeout() {
+        if (!unsent_.empty()) {
+            const auto ticket = unsent_.front();
+            unsent_.pop_front();
+            // A request that was sent before its connection closed counts as one without a response.
+            if (const auto found = replay_.requests_.find(ticket);
+                found != replay_.requests_.end() && found->second.resent) {
+                replay_.add_live_response(ticket, {});
             } else {
-                of_.schedule_.ended(ticket, Fate::refused, of_.deadlines_.now());
-                of_.skip(ticket, schedule::to_text(schedule::Skipped::lost));
+                replay_.schedule_.ended(ticket, Outcome::refused, replay_.deadlines_.now());
+                replay_.skip(ticket, schedule::to_text(schedule::SkipReason::no_connection));
             }
         }
-        renew_limit();
-        if (finishing_ && idle()) of_.close(connection_);
+        update_deadline();
+        if (is_finishing_ && is_idle()) replay_.close(connection_);
     }
 
-    void end(writer::Side first, bool reset) {
-        if (!link_) return;
-        if (of_.out_ && up_) {
-            const auto now = of_.deadlines_.now();
-            reset ? of_.out_->reset(number_, first, now) : of_.out_->finish(number_, first, now);
+    void close_transport(writer::Side closed_by, bool is_reset) {
+        if (!transport_) return;
+        if (replay_.capture_ && is_connected_) {
+            const auto now = replay_.deadlines_.now();
+            is_reset ? replay_.capture_->reset(number_, closed_by, now)
+                     : replay_.capture_->finish(number_, closed_by, now);
         }
-        link_.reset();
-        up_ = false;
+        transport_.reset();
+        is_connected_ = false;
     }
 
-    // What was sent may have run: a write is not sent again. A read is, once, where nothing of an answer
-    // came: a proxy may close a connection between requests, and a client whose request crosses that sends it
-    // again.
-    void lose(writer::Side by, bool reset) {
-        if (!link_) return;
-        const bool was_up = dialect_->greeted();
-        end(by, reset);
-        ++of_.report_.broken;
-        limit_.clear();
-        if (was_up && !heard_ && sent_.size() == 1) {
-            const auto found = of_.requests_.find(sent_.front());
-            send_again_ = found != of_.requests_.end() && found->second.key.empty() && !found->second.resent;
+    // Handles the end of the connection. A request that was sent may have run, so a write is not sent again.
+    // A read is sent again once if no part of its response arrived: a proxy may close a connection between
+    // requests, and a client whose request crosses that sends it again.
+    void handle_disconnect(writer::Side closed_by, bool is_reset) {
+        if (!transport_) return;
+        const bool was_greeted = dialect_->greeted();
+        close_transport(closed_by, is_reset);
+        ++replay_.report_.broken;
+        deadline_.clear();
+        if (was_greeted && !has_partial_response_ && sent_.size() == 1) {
+            const auto found = replay_.requests_.find(sent_.front());
+            resend_read_ =
+                found != replay_.requests_.end() && found->second.key.empty() && !found->second.resent;
         }
-        // Tells an answer for each of sent_: none, or the error that was the proxy's last word.
-        dialect_->over(of_.deadlines_.now());
-        send_again_ = false;
+        // Reports a response for each request in sent_: none, or the error that the proxy sent last.
+        dialect_->over(replay_.deadlines_.now());
+        resend_read_ = false;
         sent_.clear();
-        broken_ = true;
-        if (finishing_ && idle()) return of_.close(connection_);
-        // A connection that has nothing to ask is opened anew when it has.
-        if (!waiting_.empty()) was_up ? open() : again();
+        is_disconnected_ = true;
+        if (is_finishing_ && is_idle()) return replay_.close(connection_);
+        // A connection without requests is opened again when it has one.
+        if (!unsent_.empty()) was_greeted ? open() : schedule_reconnect();
     }
-    void again() {
-        link_.reset();
-        ++of_.report_.reconnects;
-        retry_.set(of_.deadlines_, of_.deadlines_.now() + backoff_.next(), [this] {
-            if (waiting_.empty()) {
-                broken_ = true;
+    void schedule_reconnect() {
+        transport_.reset();
+        ++replay_.report_.reconnects;
+        reconnect_timer_.set(replay_.deadlines_, replay_.deadlines_.now() + backoff_.next(), [this] {
+            if (unsent_.empty()) {
+                is_disconnected_ = true;
                 return;
             }
             open();
         });
-        renew_limit();
+        update_deadline();
     }
 
-    Replay& of_;
+    Replay& replay_;
     std::uint64_t connection_, number_ = 0;
-    std::string opening_;
+    std::string startup_messages_;
     std::unique_ptr<conversation::Dialect> dialect_;
-    std::unique_ptr<net::Connection> link_;
-    std::deque<Ticket> waiting_, sent_;
+    std::unique_ptr<net::Connection> transport_;
+    std::deque<Ticket> unsent_, sent_;
     schedule::Backoff backoff_;
-    Deadline limit_, retry_;
-    bool up_ = false, broken_ = true, finishing_ = false;
-    bool heard_ = false;  // part of an answer has come that is not whole
-    bool send_again_ = false;
+    Deadline deadline_, reconnect_timer_;  // of the oldest request; of the next attempt to connect
+    bool is_connected_ = false, is_disconnected_ = true, is_finishing_ = false;
+    bool has_partial_response_ = false;  // the bytes received last did not complete a response
+    bool resend_read_ = false;
 
     friend class Replay;
 };
 
-// ---- the file ----
+// ---- reading the file ----
 Replay::Replay(net::Loop& loop, Deadlines& deadlines, const Settings& settings,
-               const conversation::Language& language, Time start, writer::Writer* out)
+               const conversation::Language& language, Time start, writer::Writer* capture)
     : loop_(loop),
       deadlines_(deadlines),
       settings_(settings),
       language_(language),
-      out_(out),
+      capture_(capture),
       schedule_(settings.schedule, start) {
-    if (settings.schedule.rounds > 255) throw std::invalid_argument("a replay has 255 rounds at most");
-    memory_.most = 256 * 1024 * 1024;  // of live connections: each has its own bound besides
+    if (settings.schedule.rounds > 255) throw std::invalid_argument("rounds must be at most 255 in a replay");
+    memory_.most = 256 * 1024 * 1024;  // for all live connections; each has its own limit as well
     begin_round();
 }
 
@@ -247,20 +252,20 @@
 }
 
 void Replay::read_ahead() {
-    int left = kPacketsAtOnce;
-    while (!file_over_ && left-- > 0 && ahead_ < settings_.most_ahead &&
-           (schedule_.queued() == 0 || schedule_.given_up_to() < deadlines_.now() + kAhead)) {
+    int left = kMaxPacketsPerIteration;
+    while (!is_file_read_ && left-- > 0 && read_ahead_bytes_ < settings_.max_read_ahead_bytes &&
+           (schedule_.queued() == 0 || schedule_.latest_due() < deadlines_.now() + kReadAhead)) {
         if (recording_->step()) continue;
         if (schedule_.end_of_round())
             begin_round();
         else
-            file_over_ = true;
+            is_file_read_ = true;
     }
 }
 
 void Replay::opened(const conversation::Opened& o) {
-    openings_[schedule::connection_in(schedule_.round(), o.connection)] = std::string(o.bytes);
-    schedule::Recorded step;
+    startup_messages_[schedule::connection_in(schedule_.round(), o.connection)] = std::string(o.bytes);
+    schedule::RecordedStep step;
     step.ticket = 0;
     step.connection = o.connection;
     step.step = schedule::Step::open;
@@ -270,7 +275,7 @@
 
 void Replay::asked(const conversation::RequestEvent& a) {
     if (a.number >= 1u << kNumberBits || a.connection >= std::uint64_t{1} << kConnectionBits) return;
-    schedule::Recorded step;
+    schedule::RecordedStep step;
     step.ticket = ticket_of(a.connection, a.number);
     step.connection = a.connection;
     step.at = a.at;
@@ -285,14 +290,15 @@
     request.key = a.key;
     request.left = a.left;
     if (request.round > 0 && !a.id.empty()) {
-        request.id = schedule_.name(a.id, request.round);
-        request.bytes = language_.renamed(
-            a.bytes, request.id, a.key.empty() ? std::string() : schedule_.name(a.key, request.round));
+        request.id = schedule_.name_in_round(a.id, request.round);
+        request.bytes =
+            language_.renamed(a.bytes, request.id,
+                              a.key.empty() ? std::string() : schedule_.name_in_round(a.key, request.round));
     } else {
         request.id = a.id;
         request.bytes = a.bytes;
     }
-    ahead_ += request.bytes.size();
+    read_ahead_bytes_ += request.bytes.size();
     requests_.emplace(step.ticket, std::move(request));
     schedule_.add(step);
 }
@@ -300,83 +306,84 @@
 void Replay::answered(const ResponseEvent& a) {
     const auto ticket = ticket_of(a.connection, a.number);
     const auto found = requests_.find(ticket);
-    if (found == requests_.end()) return;  // it was skipped
+    if (found == requests_.end()) return;  // the request was skipped
     auto& request = found->second;
-    if (a.kind == Kind::none && request.round == 0) schedule_.answer_missing(request.key);
+    if (a.kind == Kind::none && request.round == 0) schedule_.mark_response_missing(request.key);
     request.recorded = a;
-    settle(ticket);
+    compare_responses(ticket);
 }
 
 void Replay::closed(conversation::ConnectionId connection, Time at) {
-    schedule::Recorded step;
+    schedule::RecordedStep step;
     step.connection = connection;
     step.step = schedule::Step::close;
     step.at = at;
     schedule_.add(step);
 }
 
-// ---- the run ----
+// ---- playing steps ----
 void Replay::work() {
     read_ahead();
-    int left = kStepsAtOnce;
+    int left = kMaxStepsPerIteration;
     while (left-- > 0) {
         const auto due = schedule_.take(deadlines_.now());
         if (!due) break;
-        carry_out(*due);
+        play(*due);
     }
-    if (file_over_ && schedule_.over()) {
-        // What is still open here has been answered or given up; the connections go.
-        live_.clear();
+    if (is_file_read_ && schedule_.over()) {
+        // All requests have a response or were given up, so the remaining connections are closed.
+        live_connections_.clear();
         finished_ = true;
         wake_.clear();
         return;
     }
     const auto now = deadlines_.now();
     auto next = schedule_.next().value_or(now + 10'000);
-    if (!file_over_) next = std::min(next, now + 10'000);
+    if (!is_file_read_) next = std::min(next, now + 10'000);
     wake_.set(deadlines_, std::max(next, now), [] {});
 }
 
-void Replay::carry_out(const schedule::Due& due) {
+void Replay::play(const schedule::Due& due) {
     if (due.step == schedule::Step::close) {
-        if (const auto live = live_.find(due.connection); live != live_.end()) live->second->finish();
+        if (const auto live = live_connections_.find(due.connection); live != live_connections_.end())
+            live->second->finish_when_idle();
         return;
     }
-    if (due.skipped != schedule::Skipped::no) return skip(due.ticket, schedule::to_text(due.skipped));
-    auto& live = live_[due.connection];
+    if (due.skipped != schedule::SkipReason::none) return skip(due.ticket, schedule::to_text(due.skipped));
+    auto& live = live_connections_[due.connection];
     if (!live) {
-        const auto opening = openings_.extract(due.connection);
-        live = std::make_unique<Live>(*this, due.connection,
-                                      opening.empty() ? std::string() : std::move(opening.mapped()));
+        const auto startup = startup_messages_.extract(due.connection);
+        live = std::make_unique<LiveConnection>(
+            *this, due.connection, startup.empty() ? std::string() : std::move(startup.mapped()));
     }
     if (due.step == schedule::Step::open) return live->open();
     report_.late_us.add(due.late);
-    if (due.held == schedule::Held::none) report_.own_late_us.add(due.late);
+    if (due.hold_reason == schedule::HoldReason::none) report_.own_late_us.add(due.late);
     const auto found = requests_.find(due.ticket);
     if (found != requests_.end()) {
         found->second.due = due.due;
-        ahead_ -= found->second.bytes.size();
+        read_ahead_bytes_ -= found->second.bytes.size();
     }
-    live->ask(due.ticket);
-    // Broken while it had nothing to ask.
-    if (live->broken() && !live->retry_.is_set()) live->open();
+    live->add_request(due.ticket);
+    // The connection was closed while it had no requests.
+    if (live->is_disconnected() && !live->reconnect_timer_.is_set()) live->open();
 }
 
-void Replay::skip(Ticket ticket, const char* why) {
-    ++report_.skipped[why];
+void Replay::skip(Ticket ticket, const char* reason) {
+    ++report_.skipped[reason];
     const auto found = requests_.find(ticket);
     if (found == requests_.end()) return;
-    if (found->second.sent_at == 0 && found->second.due == 0) ahead_ -= found->second.bytes.size();
+    if (found->second.sent_at == 0 && found->second.due == 0) read_ahead_bytes_ -= found->second.bytes.size();
     requests_.erase(found);
 }
 
-void Replay::live_answer(Ticket ticket, ResponseEvent answer) {
+void Replay::add_live_response(Ticket ticket, ResponseEvent answer) {
     const auto found = requests_.find(ticket);
     if (found == requests_.end()) return;
     auto& request = found->second;
-    const auto fate = answer.kind == Kind::refused ? Fate::refused
-                      : answer.kind == Kind::none  ? Fate::unknown
-                                                   : Fate::answered;
+    const auto outcome = answer.kind == Kind::refused ? Outcome::refused
+                         : answer.kind == Kind::none  ? Outcome::unknown
+                                                      : Outcome::answered;
     ++report_.answers[conversation::to_text(answer.kind)];
     if (settings_.checker) settings_.checker(request, &answer);
     auto& request_class = report_.classes[request.request_class];
@@ -389,42 +396,42 @@
     if (answer.kind == Kind::none) ++request_class.none;
     request.live = std::move(answer);
     request.bytes = {};
-    schedule_.ended(ticket, fate, deadlines_.now());
-    settle(ticket);
+    schedule_.ended(ticket, outcome, deadlines_.now());
+    compare_responses(ticket);
 }
 
-void Replay::settle(Ticket ticket) {
+void Replay::compare_responses(Ticket ticket) {
     const auto found = requests_.find(ticket);
-    auto& r = found->second;
-    if (!r.live || !r.recorded) return;
-    if (r.recorded->kind == Kind::none) {
+    auto& request = found->second;
+    if (!request.live || !request.recorded) return;
+    if (request.recorded->kind == Kind::none) {
         ++report_.unrecorded;
     } else {
-        const auto verdict = conversation::compare(*r.recorded, *r.live);
+        const auto verdict = conversation::compare(*request.recorded, *request.live);
         if (verdict.same) {
             ++report_.same;
         } else {
             ++report_.different;
             ++report_.causes[conversation::to_text(verdict.cause)];
             if (verdict.cause == conversation::Cause::none) ++report_.unexplained;
-            if (report_.named.size() < settings_.most_named)
-                report_.named.push_back(
-                    {r.connection, r.number, r.round, r.id, r.request_class, verdict.what, verdict.cause});
+            if (report_.named.size() < settings_.max_listed_differences)
+                report_.named.push_back({request.connection, request.number, request.round, request.id,
+                                         request.request_class, verdict.what, verdict.cause});
         }
     }
     requests_.erase(found);
 }
 
 void Replay::close(std::uint64_t connection) {
-    const auto found = live_.find(connection);
-    if (found == live_.end()) return;
-    // It may be on the call stack.
-    auto gone = std::move(found->second);
-    live_.erase(found);
-    gone->end(writer::Side::client, false);
-    gone->limit_.clear();
-    gone->retry_.clear();
-    loop_.delete_later(std::move(gone));
+    const auto found = live_connections_.find(connection);
+    if (found == live_connections_.end()) return;
+    // The connection may be on the call stack, so it is deleted later.
+    auto closed = std::move(found->second);
+    live_connections_.erase(found);
+    closed->close_transport(writer::Side::client, false);
+    closed->deadline_.clear();
+    closed->reconnect_timer_.clear();
+    loop_.delete_later(std::move(closed));
 }
 
 }  // namespace sloestack::replay
--- a/src/record/replay/replay.h
+++ b/src/record/replay/replay.h
@@ -1,5 +1,6 @@
-// Plays a recording against a live address: every step when the schedule says, each connection as recorded,
-// and each answer compared with the recorded one. Reads the file ahead by a bounded number of bytes.
+// Replays a recording against a live address: plays each step when it is due, with the same connections as
+// recorded, and compares each response with the recorded one. Reads the file ahead by a bounded number of
+// bytes.
 #pragma once
 
 #include <deque>
@@ -20,18 +21,19 @@
 
 namespace sloestack::replay {
 
-struct Request {  // kept until it is answered and its recorded answer is known
+// A request of the file. Kept until both its live response and its recorded response are known.
+struct Request {
     std::uint64_t connection = 0;
     std::uint32_t number = 0;
     int round = 0;
     std::string id, request_class, key, bytes;
     bool resent = false;
-    Micros left = 0;
+    Micros left = 0;  // how long the client waits for the response; 0 if not stated
     Time due = 0, sent_at = 0;
     std::optional<conversation::ResponseEvent> recorded, live;
 };
 
-// Told of each request as it leaves, with null, and of its answer.
+// Called with a null response when a request is sent, and again with its response.
 using Checker = std::function<void(const Request&, const conversation::ResponseEvent*)>;
 
 struct Settings {
@@ -39,13 +41,13 @@
     sockaddr_in to{};
     schedule::Settings schedule;
     conversation::RecordingSettings recording;
-    std::size_t most_ahead = 4 * 1024 * 1024;  // bytes of requests read and not yet sent
-    std::size_t most_named = 1000;             // differences named one by one; all are counted
-    Checker checker;                           // may be empty
+    std::size_t max_read_ahead_bytes = 4 * 1024 * 1024;  // bytes of requests that were read and not sent yet
+    std::size_t max_listed_differences = 1000;  // differences listed in Report::named; all are counted
+    Checker checker;                            // may be empty
 };
 
 struct Difference {
-    std::uint64_t connection = 0;  // of the file, in the order in which its streams begin
+    std::uint64_t connection = 0;  // number of the stream in the file
     std::uint32_t number = 0;
     int round = 0;
     std::string id, request_class, what;
@@ -62,19 +64,21 @@
     };
     std::map<std::string, Class> classes;
     std::vector<Difference> named;
-    histogram::Histogram late_us;      // of all that was sent, whatever held it
-    histogram::Histogram own_late_us;  // of what neither its connection, an id nor a limit held
+    histogram::Histogram late_us;      // lateness of all requests sent
+    histogram::Histogram own_late_us;  // lateness of requests that the schedule did not delay
 };
 
 class Replay final : private conversation::Listener {
 public:
-    // Starts at `start`, on the deadlines' clock. Throws pcap::CaptureFileError or std::invalid_argument.
-    // `out` may be null; it gets both sides of all that happens.
+    // Starts at `start`, on the clock of `deadlines`. If `capture` is not null, both directions of all live
+    // connections are written to it. Throws pcap::CaptureFileError if the file cannot be read, and
+    // std::invalid_argument if a setting is out of range.
     Replay(net::Loop& loop, Deadlines& deadlines, const Settings& settings,
-           const conversation::Language& language, Time start, writer::Writer* out);
+           const conversation::Language& language, Time start, writer::Writer* capture);
     ~Replay();
 
-    // Reads ahead and does what is due; to be called every turn, after the deadlines are swept.
+    // Reads ahead and plays the steps that are due. To be called in each event-loop iteration after the
+    // expired deadlines have run.
     void work();
     bool over() const { return finished_; }
     const Report& report() const { return report_; }
@@ -83,10 +87,10 @@
     const std::string& file_fault() const { return recording_->fault(); }
 
 private:
-    class Live;
+    class LiveConnection;
     using Ticket = schedule::Ticket;
 
-    // What the file holds
+    // Events of the file.
     void opened(const conversation::Opened& o) override;
     void asked(const conversation::RequestEvent& a) override;
     void answered(const conversation::ResponseEvent& a) override;
@@ -95,10 +99,10 @@
     void read_ahead();
     void begin_round();
     Ticket ticket_of(std::uint64_t connection, std::uint32_t number) const;
-    void carry_out(const schedule::Due& due);
+    void play(const schedule::Due& due);
     void skip(Ticket ticket, const char* why);
-    void live_answer(Ticket ticket, conversation::ResponseEvent answer);
-    void settle(Ticket ticket);
+    void add_live_response(Ticket ticket, conversation::ResponseEvent answer);
+    void compare_responses(Ticket ticket);
     void close(std::uint64_t connection);
     void wake_at(Time at);
 
@@ -106,16 +110,17 @@
     Deadlines& deadlines_;
     Settings settings_;
     const conversation::Language& language_;
-    writer::Writer* out_;
+    writer::Writer* capture_;
     schedule::Schedule schedule_;
     std::unique_ptr<conversation::Recording> recording_;
     conversation::Memory memory_;
-    bool file_over_ = false, finished_ = false;
-    std::uint64_t opened_live_ = 0;
-    std::size_t ahead_ = 0;
-    std::unordered_map<std::uint64_t, std::string> openings_;  // by connection of the run, until it opens
+    bool is_file_read_ = false, finished_ = false;
+    std::uint64_t opened_connections_ = 0;
+    std::size_t read_ahead_bytes_ = 0;
+    std::unordered_map<std::uint64_t, std::string>
+        startup_messages_;  // by connection of the run, until it is opened
     std::unordered_map<Ticket, Request> requests_;
-    std::unordered_map<std::uint64_t, std::unique_ptr<Live>> live_;
+    std::unordered_map<std::uint64_t, std::unique_ptr<LiveConnection>> live_connections_;
     std::uint64_t last_ticket_ = 0;
     Deadline wake_;
     Report report_;
--- a/src/record/schedule/schedule.h
+++ b/src/record/schedule/schedule.h
@@ -1,6 +1,6 @@
-// Decides when each recorded step - opening a connection, asking, closing - is due, and what becomes of one
-// that cannot go then. Pure: no I/O and no clock; equal calls give equal answers. What is played stays with
-// the caller, under a ticket.
+// Decides when each recorded step (opening a connection, sending a request, closing) is due, and whether a
+// step that cannot be played then is delayed or skipped. Has no I/O and no clock: the same calls give the
+// same results. The caller keeps the data of each step and refers to it by a ticket.
 #pragma once
 
 #include <cstdint>
@@ -22,59 +22,61 @@
 using ConnectionId = std::uint64_t;
 
 enum class Backwards {
-    clamp,  // a time that goes back counts as the latest seen before it
-    sort    // steps are put in order within a window; what is older than that is clamped
+    clamp,  // a timestamp that goes backwards is replaced by the latest before it
+    sort    // steps are sorted within Settings::sort_window; older ones are clamped
 };
 enum class Late {
-    send,  // however late, and said so
-    skip   // not at all beyond Settings::late_after, and counted
+    send,  // sends late steps, and reports by how much they are late
+    skip   // skips and counts requests that are late by more than Settings::late_after
 };
 
 struct Settings {
     double speed = 1;
     std::optional<Stretch> stretch;
-    double max_requests_per_second = 0;  // requests; 0: as recorded
+    double max_requests_per_second = 0;  // 0: no limit
     Backwards backwards = Backwards::clamp;
-    Micros sort_window = 2'000'000;          // of the file's time
-    std::size_t max_open_requests = 50'000;  // requests without an answer at once
+    Micros sort_window = 2'000'000;          // microseconds of the file's time
+    std::size_t max_open_requests = 50'000;  // requests without a response at the same time
     Late late = Late::send;
-    Micros late_after = 100'000;  // only for Late::skip
+    Micros late_after = 100'000;  // requests later than this are counted as late; see also Late::skip
     int rounds = 1;
     std::uint64_t seed = 1;
-    // Remembered, some 60 bytes each; the oldest are forgotten first. At 20,000 requests a second, 8 % of
-    // them writes, 40 s: eight times the patience of a write's client.
-    std::size_t most_keys = 65'536;
+    // Idempotency keys remembered, some 60 bytes each; the oldest are removed first. At 20,000 requests a
+    // second, of which 8 % are writes, this covers 40 s: eight times as long as the client of a write waits.
+    std::size_t max_keys = 65'536;
 };
 
 enum class Step { open, ask, close };
-struct Recorded {
+struct RecordedStep {
     Ticket ticket = 0;
     ConnectionId connection = 0;
     Step step = Step::ask;
-    Time at = 0;                    // the file's
-    std::string id = {}, key = {};  // of a request; empty where it has none
-    bool ahead = false;             // asked without waiting for the answer before it
+    Time at = 0;                    // timestamp in the file
+    std::string id = {}, key = {};  // of a request; empty if absent
+    bool ahead = false;             // sent before the response to the previous request
 };
 
-// Why a step was not played at its time.
-enum class Held { none, order, id, budget, rate };
-enum class Skipped {
-    no,
-    late,          // see Late::skip
-    key_out,       // its key has gone out already, and what became of it does not allow a second time
-    fate_unknown,  // a write recorded without its answer, in a later round
-    lost           // its connection could not be opened in its time
+// What delayed a step beyond its due time: the response to the previous request of its connection, another
+// open request with its id, the limit of open requests, or the limit of the request rate.
+enum class HoldReason { none, order, id, budget, rate };
+// Why a step is not played.
+enum class SkipReason {
+    none,
+    late,              // see Late::skip
+    key_already_sent,  // a request with its key was sent and may have run
+    outcome_unknown,   // a write without a recorded response, in a later round
+    no_connection      // its connection could not be opened before the request's deadline
 };
-const char* to_text(Skipped why);
+const char* to_text(SkipReason reason);
 
 struct Due {
     Ticket ticket = 0;
     ConnectionId connection = 0;
     Step step = Step::ask;
-    Skipped skipped = Skipped::no;  // other than no: not to be played
-    Time due = 0;                   // on the caller's clock
-    Micros late = 0;                // how much later it leaves
-    Held held = Held::none;         // by what, where the schedule itself held it
+    SkipReason skipped = SkipReason::none;      // must not be played unless this is none
+    Time due = 0;                               // on the caller's clock
+    Micros late = 0;                            // time from `due` until take() returned it
+    HoldReason hold_reason = HoldReason::none;  // what delayed the step, if the schedule did
 };
 
 struct Counters {
@@ -83,59 +85,59 @@
     std::uint64_t skipped_late = 0, skipped_key = 0, skipped_fate = 0;
 };
 
-// What became of a request that was played.
-enum class Fate { refused, answered, unknown };
+// The outcome of a request that was played.
+enum class Outcome { refused, answered, unknown };
 
-// How Due names the connections of a round: each round has connections of its own.
+// Returns the identifier that Due has for a recorded connection: each round has its own connections.
 constexpr ConnectionId connection_in(int round, ConnectionId recorded) {
     return recorded + (static_cast<ConnectionId>(round) << 40);
 }
 
 class Schedule {
 public:
-    // `start`: when the first step is due, on the caller's clock. Throws std::invalid_argument naming the
-    // setting.
+    // `start`: when the first step is due, on the caller's clock. Throws std::invalid_argument if a setting
+    // is out of range.
     Schedule(const Settings& settings, Time start);
 
-    // The next step, in the file's order. A connection's steps are played in the order in which they are
-    // given.
-    void add(const Recorded& step);
-    // All of one reading of the file has been given; true where it is to be read once more.
+    // Adds the next step in the order of the file. The steps of a connection are played in the order in which
+    // they are added.
+    void add(const RecordedStep& step);
+    // Ends a round: the whole file was added. Returns true if the file is to be added once more.
     bool end_of_round();
     int round() const { return round_; }
 
-    // The time at which take() gives something next, as far as time alone brings it on.
+    // Returns when take() will return a step, or std::nullopt if that depends on a call of ended() or add().
     std::optional<Time> next() const;
-    // What is due by `now`, one step a call; nothing where none is.
+    // Returns one step that is due by `now`, or std::nullopt if there is none.
     std::optional<Due> take(Time now);
-    // A request that take() gave has ended; its connection may ask on.
-    void ended(Ticket ticket, Fate fate, Time now);
-    // The file holds no answer to the write of that key: it is left out of later rounds.
-    void answer_missing(const std::string& key);
-
-    bool over() const { return finished_ && lanes_.empty() && open_.empty() && waiting_.empty(); }
-    std::size_t open() const { return open_.size(); }  // requests without their answers
-    std::size_t queued() const { return queued_; }     // steps not given out yet
-    Time given_up_to() const { return latest_due_; }   // due time of the latest step given in
+    // Reports the outcome of a request that take() returned; its connection may send the next one.
+    void ended(Ticket ticket, Outcome outcome, Time now);
+    // Marks the write with that key as one without a response in the file: it is skipped in later rounds.
+    void mark_response_missing(const std::string& key);
+
+    bool over() const { return finished_ && queues_.empty() && open_.empty() && sort_buffer_.empty(); }
+    std::size_t open() const { return open_.size(); }  // requests without a response
+    std::size_t queued() const { return queued_; }     // steps that take() has not returned yet
+    Time latest_due() const { return latest_due_; }    // due time of the latest step added
     const Counters& counters() const { return counters_; }
 
-    // How a name reads in a round: as recorded in the first, and of the same form, but new, in those after
-    // it.
-    std::string name(std::string_view recorded, int round) const;
+    // Returns the id or key that replaces a recorded one in a round: the recorded one in the first round, and
+    // a hash of 16 hexadecimal digits that is unique to the round in later rounds.
+    std::string name_in_round(std::string_view recorded, int round) const;
 
 private:
     struct Item {
-        Recorded step;
+        RecordedStep step;
         Time due = 0;
-        Held held = Held::none;
+        HoldReason hold_reason = HoldReason::none;
         int round = 0;
     };
-    struct Lane {  // one connection's steps
+    struct ConnectionQueue {  // the steps of one connection
         std::deque<Item> items;
         std::size_t unanswered = 0;
-        bool listed = false;  // in heads_
+        bool is_in_heads = false;  // its first step is in heads_
     };
-    using Lanes = std::unordered_map<ConnectionId, Lane>;
+    using ConnectionQueues = std::unordered_map<ConnectionId, ConnectionQueue>;
     using Head = std::pair<Time, ConnectionId>;
     struct Open {
         ConnectionId connection = 0;
@@ -143,47 +145,49 @@
     };
 
     void release(bool all);
-    void enqueue(Recorded step);
-    void list(ConnectionId connection, Lane& lane);
-    void unlist(ConnectionId connection, Lane& lane);
-    bool blocked(const Lane& lane) const;
-    Due give(Lanes::iterator lane, Time now, Skipped skipped);
-    void hold(Item& item, Held why);
-    Skipped judge(const Item& item, Time now) const;
-    void remember(const std::string& key);
+    void enqueue(RecordedStep step);
+    void add_head(ConnectionId connection, ConnectionQueue& queue);
+    void remove_head(ConnectionId connection, ConnectionQueue& queue);
+    bool is_blocked(const ConnectionQueue& queue) const;
+    Due dispatch(ConnectionQueues::iterator at, Time now, SkipReason skipped);
+    void mark_held(Item& item, HoldReason reason);
+    SkipReason skip_reason_of(const Item& item, Time now) const;
+    void remember_key(const std::string& key);
 
     Settings settings_;
     Timeline timeline_;
-    std::optional<Time> first_;  // the file's time of its first step
-    Monotone clock_;
-    std::multimap<Time, Recorded> waiting_;             // within the window of Backwards::sort
-    std::unordered_map<ConnectionId, Time> latest_of_;  // the latest time of a connection among them
+    std::optional<Time> first_;  // timestamp of the first step in the file
+    MonotonicClock clock_;
+    std::multimap<Time, RecordedStep> sort_buffer_;  // steps within the window of Backwards::sort
+    std::unordered_map<ConnectionId, Time>
+        latest_by_connection_;  // latest timestamp of each connection, for Backwards::sort
     Time round_start_ = 0, latest_due_ = 0;
     int round_ = 0;
     bool finished_ = false;
-    Lanes lanes_;
-    std::set<Head> heads_;  // lanes whose first step waits for nothing but its time
+    ConnectionQueues queues_;
+    std::set<Head> heads_;  // due times of first steps that only wait for their time
     std::unordered_map<std::string, std::list<ConnectionId>> waits_for_id_;
     std::unordered_map<Ticket, Open> open_;
     std::unordered_set<std::string> open_ids_;
-    // By a hash of 64 bits: a chance collision among 65,536 has odds of 10^-10, and would skip one write.
-    std::unordered_map<std::uint64_t, Fate> keys_;
+    // Keyed by a 64-bit hash of the key. The probability of a collision among 65,536 keys is 10^-10; a
+    // collision would skip one write.
+    std::unordered_map<std::uint64_t, Outcome> keys_;
     std::deque<std::uint64_t> keys_by_age_;
-    std::unordered_set<std::string> missing_;  // keys of writes recorded without their answers
+    std::unordered_set<std::string> keys_without_response_;  // keys of writes without a recorded response
     Time next_by_rate_ = 0;
     std::size_t queued_ = 0;
     Counters counters_;
 };
 
-// When to try again to reach an address that did not answer: doubled, spread, bounded. Pure.
+// Delays between attempts to connect: doubled after each attempt up to a maximum, with random jitter.
 class Backoff {
 public:
-    Backoff(Micros first, Micros most, std::uint64_t seed) : first_(first), most_(most), state_(seed) {}
-    Micros next();  // between half and the whole of the present step
+    Backoff(Micros first, Micros max, std::uint64_t seed) : first_(first), max_(max), state_(seed) {}
+    Micros next();  // between half of the current step and the whole step
     void reset() { step_ = 0; }
 
 private:
-    Micros first_, most_, step_ = 0;
+    Micros first_, max_, step_ = 0;
     std::uint64_t state_;
 };
 
--- a/src/record/schedule/timeline.h
+++ b/src/record/schedule/timeline.h
@@ -1,4 +1,5 @@
-// The file's clock made fit to be played: monotonic, stretched and sped up. Pure.
+// Maps the timestamps of a capture file to the times of a replay: makes them monotonic, stretches a range and
+// applies the speed. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +11,32 @@
 using Time = std::int64_t;    // Unix microseconds
 using Micros = std::int64_t;  // a duration
 
-// Makes timestamps that go backwards go on: each is set to the latest seen before it. Counts them.
-class Monotone {
+// Makes timestamps monotonic: one that goes backwards is replaced by the latest before it, and counted.
+class MonotonicClock {
 public:
     Time take(Time at) {
         if (latest_ && at < *latest_) {
             ++backwards_;
-            if (*latest_ - at > largest_) largest_ = *latest_ - at;
+            if (*latest_ - at > largest_step_back_) largest_step_back_ = *latest_ - at;
             return *latest_;
         }
         latest_ = at;
         return at;
     }
     std::uint64_t backwards() const { return backwards_; }
-    Micros largest() const { return largest_; }  // the farthest that one went back
+    Micros largest_step_back() const {
+        return largest_step_back_;
+    }  // the largest difference to the latest timestamp
     std::optional<Time> latest() const { return latest_; }
 
 private:
     std::optional<Time> latest_;
     std::uint64_t backwards_ = 0;
-    Micros largest_ = 0;
+    Micros largest_step_back_ = 0;
 };
 
-// One range of the file's time, counted from its first request, that takes `factor` times as long: 0.5 plays
-// a surge twice as dense.
+// A range of the file's time, relative to its first step, that takes `factor` times as long: 0.5 replays the
+// range at twice the request rate.
 struct Stretch {
     Micros from = 0, to = 0;
     double factor = 1;
@@ -41,10 +44,10 @@
 
 class Timeline {
 public:
-    // `speed` 2 plays in half the time. Throws std::invalid_argument, a sentence naming what is wrong.
+    // A `speed` of 2 replays in half the time. Throws std::invalid_argument if a value is out of range.
     Timeline(double speed, std::optional<Stretch> stretch);
-    // When, after the start of the run, that is due which lies `since_first` into the file. Never goes back
-    // where its argument does not.
+    // Returns when a step is due, relative to the start of the run, that is `since_first` after the first
+    // step of the file. Monotonic in its argument.
     Micros due(Micros since_first) const;
 
 private:
