--- a/emulator/load.cpp
+++ b/emulator/load.cpp
@@ -101,7 +101,7 @@
         if (!pending_) return;
         // A request that was never written was not accepted; the outcome of one that was written is unknown.
         if (!is_sent_) {
-            conversation::Answered none;
+            conversation::ResponseEvent none;
             none.kind = Kind::refused;
             response_ = none;
         } else if (!response_) {
@@ -115,8 +115,8 @@
     void greeted(conversation::ConnectionId, conversation::Time, const conversation::Digest&) override {
         if (pending_) write_request();
     }
-    void asked(const conversation::Asked&) override {}
-    void answered(const conversation::Answered& a) override { response_ = a; }
+    void asked(const conversation::RequestEvent&) override {}
+    void answered(const conversation::ResponseEvent& a) override { response_ = a; }
     // Writes the request. The time to establish the connection counts towards the deadline; if none is left,
     // nothing is written.
     void write_request() {
@@ -159,7 +159,7 @@
     Load& load_;
     int proxy_;
     std::optional<PendingRequest> pending_;
-    std::optional<conversation::Answered> response_;
+    std::optional<conversation::ResponseEvent> response_;
     bool is_sent_ = false, is_connected_ = false;
     bool is_reused_ = false;     // the connection has carried a response before
     bool has_received_ = false;  // bytes arrived after the request was written
@@ -285,7 +285,7 @@
         if (clients[i]->line()) clients[i]->ended(sloestack::net::ConnectionEnd::error);
 }
 
-void Load::answered(int proxy, const PendingRequest& asked, const conversation::Answered& a, bool sent) {
+void Load::answered(int proxy, const PendingRequest& asked, const conversation::ResponseEvent& a, bool sent) {
     auto& count = counts_[asked.request.request_class];
     const auto now = deadlines_.now();
     const auto& model = kClasses[asked.request.request_class];
--- a/emulator/load.h
+++ b/emulator/load.h
@@ -109,8 +109,8 @@
     void assign(int proxy, PendingRequest asked);
     void on_unreachable(int proxy);
     void on_reachable(int proxy);
-    void answered(int proxy, const PendingRequest& asked, const sloestack::conversation::Answered& answer,
-                  bool sent);
+    void answered(int proxy, const PendingRequest& asked,
+                  const sloestack::conversation::ResponseEvent& answer, bool sent);
 
     sloestack::net::Loop& loop_;
     sloestack::Deadlines& deadlines_;
--- a/src/app/ctl/diff.cpp
+++ b/src/app/ctl/diff.cpp
@@ -9,9 +9,9 @@
 namespace sloestack::ctl {
 namespace {
 
-using conversation::Answered;
 using conversation::Cause;
 using conversation::Kind;
+using conversation::ResponseEvent;
 
 constexpr std::size_t kMaxListedDifferences = 1000;
 
@@ -20,7 +20,7 @@
     std::string request_class, key;
     bool repeat = false;
     std::optional<conversation::Digest> greeting;  // of the connection; set on its first request only
-    Answered answer;
+    ResponseEvent answer;
 };
 
 // All requests of one file, keyed by "id", or "id#2" and so on if the id occurs again. Requests without an id
@@ -39,7 +39,7 @@
         if (const auto first = first_request.find(c); first != first_request.end())
             exchanges[first->second].greeting = d;
     }
-    void asked(const conversation::Asked& a) override {
+    void asked(const conversation::RequestEvent& a) override {
         auto name = a.id.empty() ? "(no id)" : std::string(a.id);
         if (const int n = ++occurrences[name]; n > 1) name += "#" + std::to_string(n);
         auto& e = exchanges[name];
@@ -53,7 +53,7 @@
         pending_requests[a.connection][a.number] = name;
         request_order.push_back(name);
     }
-    void answered(const Answered& a) override {
+    void answered(const ResponseEvent& a) override {
         auto& of = pending_requests[a.connection];
         const auto name = of.find(a.number);
         if (name == of.end()) return;
--- a/src/app/ctl/play.h
+++ b/src/app/ctl/play.h
@@ -16,9 +16,9 @@
 // The capture file that a replay writes if --write is given.
 class Output {
 public:
-    explicit Output(const cxxopts::ParseResult& parsed);      // throws pcap::BadFile
+    explicit Output(const cxxopts::ParseResult& parsed);      // throws pcap::CaptureFileError
     writer::Writer* writer() const { return writer_.get(); }  // null without --write
-    void close();                                             // throws pcap::BadFile
+    void close();                                             // throws pcap::CaptureFileError
 
 private:
     std::unique_ptr<pcap::File> file_;
--- a/src/app/ctl/rehearse.cpp
+++ b/src/app/ctl/rehearse.cpp
@@ -70,7 +70,7 @@
     Output output(*parsed);
     EmulatedFleet emulated_fleet(fleet_settings);
     settings.to = emulated_fleet.proxy();
-    settings.checker = [&](const replay::Request& request, const conversation::Answered* answer) {
+    settings.checker = [&](const replay::Request& request, const conversation::ResponseEvent* answer) {
         if (request.id.empty()) return;
         emulator::Event e;
         e.what = answer ? emulator::What::answered : emulator::What::asked;
