--- a/src/core/dispatch_loop/dispatch_loop.h
+++ b/src/core/dispatch_loop/dispatch_loop.h
@@ -58,8 +58,8 @@
         return replica_groups_.count(replica_group) > 0;
     }
     // AttemptListener
-    bool on_answer_started(const decision::ResponseStarted& start, const traffic::ResultValue& head,
-                           std::size_t size, traffic::ResponseSource& source) override;
+    bool on_response_started(const decision::ResponseStarted& start, const traffic::ResultValue& head,
+                             std::size_t size, traffic::ResponseSource& source) override;
     void on_value_chunk(traffic::RequestId id, std::string_view bytes) override;
     void on_attempt_ended(const decision::AttemptEnded& end,
                           std::optional<traffic::ResultValue> value) override;
--- a/src/core/dispatch_loop/inputs.cpp
+++ b/src/core/dispatch_loop/inputs.cpp
@@ -46,8 +46,9 @@
     return false;
 }
 
-bool DispatchLoop::on_answer_started(const decision::ResponseStarted& start, const traffic::ResultValue& head,
-                                     std::size_t size, traffic::ResponseSource& source) {
+bool DispatchLoop::on_response_started(const decision::ResponseStarted& start,
+                                       const traffic::ResultValue& head, std::size_t size,
+                                       traffic::ResponseSource& source) {
     auto* request = requests_.find(start.request);
     if (!request || !request->sink || request->streaming_attempt) return false;
     request->streaming_attempt = start.attempt;
--- a/src/core/traffic/attempt.h
+++ b/src/core/traffic/attempt.h
@@ -41,8 +41,8 @@
     // Called for a value that is too large to be buffered. Its chunks follow, then on_attempt_ended with a
     // value that holds only the command tag; `source` is valid until then. Returns false if the request no
     // longer waits for a response, or another attempt already streams it; the sender then ends the attempt.
-    virtual bool on_answer_started(const decision::ResponseStarted& start, const ResultValue& head,
-                                   std::size_t size, ResponseSource& source) = 0;
+    virtual bool on_response_started(const decision::ResponseStarted& start, const ResultValue& head,
+                                     std::size_t size, ResponseSource& source) = 0;
     virtual void on_value_chunk(RequestId request, std::string_view bytes) = 0;
     // `value` is present if and only if the outcome is ok.
     virtual void on_attempt_ended(const decision::AttemptEnded& end, std::optional<ResultValue> value) = 0;
--- a/src/upstream/connection_pool/connection_pool_events.cpp
+++ b/src/upstream/connection_pool/connection_pool_events.cpp
@@ -31,7 +31,7 @@
     auto& attempt = *connections_.at(&connection).attempt;
     const decision::ResponseStarted started{attempt.attempt.request, attempt.attempt.number,
                                             attempt.attempt.endpoint, deadlines_.now() - attempt.started_at};
-    if (!attempt.is_health_check && listener_.on_answer_started(started, head, size, connection)) {
+    if (!attempt.is_health_check && listener_.on_response_started(started, head, size, connection)) {
         attempt.attempt_timeout.clear();
         return true;
     }
