--- a/bench/decision_trace/fleet.h
+++ b/bench/decision_trace/fleet.h
@@ -16,7 +16,6 @@
 class Fleet {
 public:
     Fleet(const Scenario& scenario, Trace& trace);
-    // Runs the scenario from its beginning to its end.
     void run();
 
 private:
--- a/include/sloestack/router.h
+++ b/include/sloestack/router.h
@@ -30,7 +30,7 @@
 enum class Idempotency { idempotent, keyed, none };
 // Which endpoints recognize the idempotency key of a request that one of them has executed.
 enum class IdempotencyScope { replica_group, zone, fleet };
-// What an endpoint does with a read whose required position it has not applied: answers it from its older
+// What an endpoint does with a read whose required position it has not applied: serves it from its older
 // data, rejects it (Outcome::not_eligible), or waits up to Settings::position_wait_us for the position.
 enum class PositionCheck { none, reject, wait };
 // Which primary endpoint lists name: none, the initial one, or the current one with a delay.
@@ -183,7 +183,7 @@
     EndpointId endpoint = 0;
     Micros latency_us = 0;  // from the start of the attempt to the first byte
 };
-// The client is gone: ends the request without a response.
+// The client has disconnected: ends the request without a response.
 struct ClientDisconnected {
     RequestId request = 0;
 };
@@ -227,7 +227,7 @@
     deadline_exceeded,       // the deadline passed during an attempt
     not_retryable,           // an attempt may have run and must not be repeated, or max_attempts is reached
     retry_budget_exhausted,  // the retry budget, a share of the arrivals, is spent
-    repeated_error,          // a second attempt ended with Outcome::error
+    repeated_error,          // two attempts ended with Outcome::error
 };
 constexpr std::size_t kRejectionReasonCount = static_cast<std::size_t>(RejectionReason::repeated_error) + 1;
 
--- a/src/admin/admin_server/admin_connection.cpp
+++ b/src/admin/admin_server/admin_connection.cpp
@@ -6,7 +6,9 @@
 namespace {
 
 constexpr std::size_t kMaxUnreadBytes = std::size_t{16} * 1024;
-constexpr Micros kConnectionTimeoutUs = 900'000;  // from accepting to closing a connection; callers wait 1 s
+// Time-out from accepting to closing a connection. Shorter than the 1 s that clients of the admin interface
+// wait for a response.
+constexpr Micros kConnectionTimeoutUs = 900'000;
 
 const char* reason_phrase(int status) {
     switch (status) {
--- a/src/base/invariant/invariant.h
+++ b/src/base/invariant/invariant.h
@@ -12,7 +12,7 @@
 // list, which report() walks.
 class Counter {
 public:
-    // `name` is not copied.
+    // `name` is not copied and must outlive the counter.
     explicit Counter(const char* name);
     Counter(const Counter&) = delete;
     Counter& operator=(const Counter&) = delete;
--- a/src/decision/endpoint_subset.cpp
+++ b/src/decision/endpoint_subset.cpp
@@ -8,9 +8,10 @@
 namespace sloestack::decision {
 namespace {
 
-constexpr double kRoutersPerEndpoint = 150;  // routers that prefer an endpoint: bounds its connections
-constexpr std::size_t kMinSubsetSize = 2;    // if one endpoint fails, another is left
-constexpr double kOwnZoneWeight = 2;         // equals the ratio in the load balancer's draw
+// Intended number of routers whose subset contains a given endpoint. Limits the connections to an endpoint.
+constexpr double kRoutersPerEndpoint = 150;
+constexpr std::size_t kMinSubsetSize = 2;  // if one endpoint fails, another is left
+constexpr double kOwnZoneWeight = 2;       // equals the ratio in the load balancer's draw
 constexpr std::uint64_t kEndpointMultiplier = 0xd1342543de82ef95u;
 constexpr double kTwoToThe53 = 9007199254740992.0;
 
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -8,8 +8,8 @@
 
 // Share of the latency objective that requests may wait in an endpoint's queue.
 constexpr double kQueueingObjectiveRatio = 0.33;
-// Minimum capacity of an endpoint, in requests: of all routers together, and of each router, which otherwise
-// would get no responses to learn from.
+// Minimum capacity assumed for an endpoint, in requests in flight of all routers together. Each router gets
+// an equal share, but at least kMinRouterRequests: without any responses it could not estimate the capacity.
 constexpr double kMinFleetRequests = 12;
 constexpr double kMinRouterRequests = 2;
 // Share of the primary's capacity that reads other than linearizable ones may use; the rest is for writes.
--- a/src/decision/position_history.cpp
+++ b/src/decision/position_history.cpp
@@ -7,7 +7,8 @@
 namespace sloestack::decision {
 namespace {
 
-// Samples older than kRateWindowUs are kept up to this number, and up to kLongRateWindowUs.
+// Samples older than kLongRateWindowUs are discarded; those older than kRateWindowUs only while more than
+// this number of samples are left.
 constexpr std::size_t kSamplesBeyondWindow = 3;
 constexpr Micros kMinSpeedSpanUs = 150'000;  // over shorter spans the jitter of sampling times dominates
 
--- a/src/decision/read_admission.h
+++ b/src/decision/read_admission.h
@@ -1,10 +1,11 @@
 // Admission control of reads by goodput: admits as many reads of a class as were lately served within the
 // latency objective, plus some room to grow.
 //
-// This is the design's formula for writes, with the reads served in time as the sustained rate. It protects
-// against overload of any cause, and against queues whose responses come too late. Limits on work in flight
-// cannot do that if each of many routers has only one or two requests in flight. Reads may still be rejected
-// for some time after an outage.
+// The share of reads that is admitted is the ratio of the sustained rate (reads served in time, times a
+// growth factor) to the offered rate. This protects endpoints from overload, whatever its cause, and clients
+// from responses that are late because of long queues. Limits on work in flight cannot do that if each of
+// many routers has only one or two requests in flight. Reads may still be rejected for some time after an
+// outage.
 #pragma once
 
 #include "replica_group.h"
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -28,7 +28,7 @@
     // Always true if slow start is not active.
     bool admits(Endpoint& endpoint, const ReplicaGroup& group, double work_s, Time now,
                 RandomSource& random) const;
-    // Deducts forwarded work from the budget, in seconds.
+    // Deducts the forwarded work of `work_s` seconds from the endpoint's budget.
     void spend(Endpoint& endpoint, double work_s, Time now) const;
 
 private:
@@ -37,8 +37,8 @@
 
 // Updates, every 250 ms, the work that a warm endpoint of the group completes for this router, which is a
 // lower bound of its capacity. The estimate decreases only while all endpoints are warm and not ejected: in
-// an outage endpoints whose failure is not detected yet complete no work, which says nothing about their
-// capacity.
+// an outage endpoints whose failure is not detected yet complete no work, which does not mean that they
+// have no capacity.
 void update_work_per_endpoint(ReplicaGroup& group, const RouterState& state, const SlowStart& slow_start);
 
 }  // namespace sloestack::decision
--- a/src/decision/startup_phase.h
+++ b/src/decision/startup_phase.h
@@ -36,7 +36,8 @@
     // if health checks cannot report their roles.
     bool trusts_listed_primary() const { return trusts_listed_primary_; }
 
-    // Share of the requested groups that must be confirmed; the others may be unreachable.
+    // Share of the replica groups with client requests in which an endpoint must have reported its role; the
+    // other groups may be unreachable.
     static constexpr double kConfirmedGroupRatio = 0.9;
 
 private:
--- a/src/downstream/sessions/arrival_times.h
+++ b/src/downstream/sessions/arrival_times.h
@@ -19,7 +19,7 @@
     // Discards the records before `end`, so `end` may not decrease from one call to the next.
     Time arrival_of(std::uint64_t end, Time fallback);
 
-    // Limit of separately recorded reads: the 8 KiB that may be buffered behind an open request hold about 64
+    // Limit of separately recorded reads: the 8 KiB that may be buffered after an open request hold about 64
     // statements, each received in up to four parts. Beyond the limit the latest reads are merged and take
     // the time of the last one, so that a client that sends byte by byte gets a later deadline, never an
     // earlier one.
--- a/src/downstream/sessions/client_listener.h
+++ b/src/downstream/sessions/client_listener.h
@@ -1,5 +1,5 @@
 // Accepts clients and owns their sessions: limits their number, closes idle sessions in favour of new
-// clients, and closes all of them in order when the proxy stops.
+// clients, and closes all of them gracefully when the proxy stops.
 #pragma once
 
 #include <list>
--- a/src/downstream/sessions/client_session.cpp
+++ b/src/downstream/sessions/client_session.cpp
@@ -168,7 +168,7 @@
 void ClientSession::all_responses_written() {
     disconnect_detector_.stop();
     connection_->set_max_unread_bytes(kMaxUnreadBytes);
-    // Only between requests: a query may have been sent right behind the one whose response was just written.
+    // Only between requests: a query may have been sent right after the one whose response was just written.
     const bool should_close = context_.close_after_response || context_.client_quota.is_exceeded();
     if (should_close && is_between_requests()) return finish();
     read_messages();
--- a/src/downstream/sessions/client_session_messages.cpp
+++ b/src/downstream/sessions/client_session_messages.cpp
@@ -98,8 +98,8 @@
     }
 }
 
-// A rejection that waits behind open reads counts as a query of its class, so that reads behind it may
-// overlap.
+// A rejection that waits for the responses to open reads counts as a query of its class, so that reads after
+// it may overlap.
 void ClientSession::reject_request(int request_class, Micros retry_after) {
     context_.metrics.count_response(request_class, metrics::ResponseKind::rejected);
     responses_.respond(rejection_response(retry_after), request_class);
--- a/src/downstream/sessions/disconnect_detector.h
+++ b/src/downstream/sessions/disconnect_detector.h
@@ -1,6 +1,6 @@
 // Detects whether a client that waits for a response has disconnected. A FIN does not show that: the client
 // may have half-closed the connection after its last query and still be reading. So a NoticeResponse is
-// written after a FIN: a client that still reads ignores it, while the host of one that has closed answers it
+// written after a FIN: a client that still reads ignores it, while the host of one that has closed responds
 // with a RST sooner or later. The socket is then checked for that error at intervals.
 #pragma once
 
@@ -14,8 +14,8 @@
 public:
     // Whether the client's FIN has been read.
     virtual bool input_has_ended() const = 0;
-    // Whether reading is paused because too much input is buffered behind an open request, so that a FIN
-    // behind it would not be read.
+    // Whether reading is paused because too much input is buffered after an open request, so that a FIN
+    // after that input would not be read.
     virtual bool input_is_paused() const = 0;
     virtual bool waits_for_response() const = 0;
     // Whether a response is being streamed: a notice must not be written between its parts, and writing these
@@ -40,7 +40,7 @@
     // Reading is paused: checks the connection at intervals, unless that is scheduled already.
     void on_input_paused();
     // Checks the connection now. If the client has disconnected, returns true and has
-    // on_client_disconnected() called in the next sweep of the deadlines.
+    // on_client_disconnected() called by the next Deadlines::run_due().
     bool client_disconnected();
     void stop() { check_.clear(); }
 
--- a/src/downstream/sessions/response_messages.h
+++ b/src/downstream/sessions/response_messages.h
@@ -18,8 +18,8 @@
                            std::optional<Micros> retry_after = std::nullopt);
 // An ErrorResponse after which the connection is closed.
 std::string fatal_error(std::string_view sqlstate, std::string_view message);
-// The response to a rejected request. The request was not attempted, so that a retry is safe. A `retry_after`
-// of 0 asks for a retry without delay.
+// The response to a rejected request. The request was not executed or may be executed again, so that a retry
+// is safe. A `retry_after` of 0 asks for a retry without delay.
 std::string rejection_response(Micros retry_after);
 // The error response to a message of the type `type` outside the simple query protocol, the only one
 // supported.
@@ -30,8 +30,8 @@
 std::string greeting(const CancelKey& key, bool negotiate_minor_version);
 std::string ready_for_query();
 std::string empty_query_response();
-// A NoticeResponse for a client that has sent a FIN: ignored by a client that still reads, and answered with
-// a RST if the client has closed the connection.
+// A NoticeResponse for a client that has sent a FIN: ignored by a client that still reads, and causes a
+// RST if the client has closed the connection.
 std::string input_ended_notice();
 
 // A whole response with one row.
--- a/src/downstream/sessions/session_timeouts.h
+++ b/src/downstream/sessions/session_timeouts.h
@@ -42,7 +42,7 @@
     void await_write_progress(std::uint64_t sent_bytes, std::function<void()> on_stalled);
     // Replaces the deadline: `on_expired` is called after the lingering time-out, and no later than `latest`.
     void await_close(Time latest, std::function<void()> on_expired);
-    // Replaces the deadline: `callback` is called in the next sweep of the deadlines.
+    // Replaces the deadline: `callback` is called by the next Deadlines::run_due().
     void call_soon(std::function<void()> callback);
     void clear() { limit_.clear(); }
 
--- a/src/fleet/discovery/endpoint_list_codec.h
+++ b/src/fleet/discovery/endpoint_list_codec.h
@@ -22,7 +22,7 @@
     // Optional fields, with the value that is returned if the field is missing:
     std::string address() const;        // for example "10.1.0.18:5433"; missing: empty
     int replica_group() const;          // missing: 0
-    double size() const;                // missing: 1
+    double size() const;                // relative to other endpoints; missing: 1
     decision::Time started_at() const;  // in microseconds; missing: 0
     bool listed_as_primary() const;     // missing: false
     std::string zone_name() const;      // missing: empty
--- a/src/net/transport/connection.h
+++ b/src/net/transport/connection.h
@@ -74,7 +74,7 @@
     std::size_t unread_bytes() const;
     // Bytes consumed or moved since the connection was opened.
     std::uint64_t consumed_bytes() const { return consumed_bytes_; }
-    // Half-closes the connection: sends a FIN behind all data in the kernel. Input is still received.
+    // Half-closes the connection: sends a FIN after all data in the kernel. Input is still received.
     void shutdown_write();
     // The socket's own address; all zero if it has none yet.
     sockaddr_in local_address() const;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -21,7 +21,8 @@
     FieldReader header(frame.data() + kBatchSizeOffset, sizeof(std::uint32_t), kBatchSizeOffset);
     const auto size = header.uint<std::uint32_t>();
     if (size < kBatchHeaderBytes || size > kMaxFrameBytes)
-        throw FrameError(kBatchSizeOffset, "invalid frame size " + std::to_string(size));
+        throw FrameError(kBatchSizeOffset,
+                         "frame size is not between 16 bytes and 1 GiB: " + std::to_string(size));
     frame.resize(size);
     const auto expected_bytes = size - kBatchHeaderBytes;
     const auto body_bytes = std::fread(frame.data() + kBatchHeaderBytes, 1, expected_bytes, stdin);
--- a/src/state/hot_restart/hot_restart.cpp
+++ b/src/state/hot_restart/hot_restart.cpp
@@ -134,20 +134,20 @@
 }
 
 HotRestart::Peers HotRestart::broadcast(const ExclusionUpdate& update, const PeerConnection* except) {
-    Peers sent_to;
+    Peers recipients;
     for (const auto& peer : peers_) {
         if (peer.get() == except || !peer->is_joined()) continue;
         peer->send(update);
-        sent_to.insert(peer.get());
+        recipients.insert(peer.get());
     }
-    return sent_to;
+    return recipients;
 }
 
 void HotRestart::send_exclusion_update(const std::string& endpoint, bool excluded,
                                        std::function<void()> done) {
     const auto sequence = ++last_sequence_;
-    auto sent_to = broadcast({excluded, endpoint, sequence}, nullptr);
-    acknowledgements_.expect(sequence, std::move(sent_to), std::move(done));
+    auto recipients = broadcast({excluded, endpoint, sequence}, nullptr);
+    acknowledgements_.expect(sequence, std::move(recipients), std::move(done));
 }
 
 }  // namespace sloestack::hot_restart
--- a/src/state/hot_restart/hot_restart_codec.h
+++ b/src/state/hot_restart/hot_restart_codec.h
@@ -40,7 +40,8 @@
 // The longest line that is read; a peer that sends a longer one is disconnected.
 constexpr std::size_t kMaxLineBytes = std::size_t{64} * 1024;
 
-// Returns the message as a line with its newline. An endpoint's name must be valid UTF-8.
+// Returns the message as a line with its newline. Throws nlohmann::json::type_error if an endpoint's name is
+// not valid UTF-8.
 std::string encode(const Message& message);
 
 // Parses a line without its newline. Returns std::nullopt if it is not a message of this protocol. Ignores
--- a/src/upstream/connection_pool/connection_pool.cpp
+++ b/src/upstream/connection_pool/connection_pool.cpp
@@ -11,7 +11,7 @@
 // Idle connections are closed this long before the endpoint would close them.
 constexpr Micros kIdleTimeoutMarginUs = 1'000'000;
 // The delay between a response and the next query on the same connection. Without it, a duplicate response or
-// stray bytes right behind a response would be read as the response to the next query.
+// extra bytes right after a response would be read as the response to the next query.
 constexpr Micros kReuseDelayUs = 20'000;
 
 }  // namespace
@@ -171,8 +171,8 @@
 }
 
 void ConnectionPool::shrink_to_quota() {
-    bool has_closed = true;
-    while (quota_.is_exceeded() && has_closed) has_closed = close_one_idle_connection();
+    bool has_closed_connection = true;
+    while (quota_.is_exceeded() && has_closed_connection) has_closed_connection = close_one_idle_connection();
 }
 
 // Closes the connection that has been idle for longest at the endpoint with the most idle connections.
--- a/src/upstream/postgres/postgres_connection.cpp
+++ b/src/upstream/postgres/postgres_connection.cpp
@@ -115,7 +115,7 @@
     return true;
 }
 
-// While the connection is idle, no message is allowed: stray bytes or a duplicate of the last response must
+// While the connection is idle, no message is allowed: extra bytes or a duplicate of the last response must
 // not be read as the response to the next query.
 std::size_t PostgresConnection::max_size_of(char type) const {
     if (state_ == State::busy) return parser_.max_size_of(type);
--- a/src/upstream/postgres/response_parser.cpp
+++ b/src/upstream/postgres/response_parser.cpp
@@ -113,7 +113,7 @@
 
 void ResponseParser::read_row_description(std::string_view body) {
     pgwire::FieldReader fields(body);
-    if (fields.int16() != 1) throw pgwire::ProtocolError("RowDescription: not exactly one column");
+    if (fields.int16() != 1) throw pgwire::ProtocolError("RowDescription: the number of columns is not 1");
     auto& value = response_.value.emplace();
     value.column = fields.text();
     fields.int32();  // object ID of the table
--- a/src/wire/pgwire/frame.h
+++ b/src/wire/pgwire/frame.h
@@ -34,9 +34,9 @@
 // Returns the largest value of the length field, which counts itself, that a message of `type` may have now,
 // or 0 if a message of that type is not valid now.
 using MaxLengthForType = std::function<std::size_t(char type)>;
-// Returns the size in bytes of the whole message that begins with `head`, or `std::nullopt` if `head` is too
-// short to tell. Throws ProtocolError as soon as type or length are not valid, so that no caller waits for
-// the body of a message that is rejected anyway.
+// Returns the size in bytes of the whole message that begins with `head`, or `std::nullopt` if `head` is
+// shorter than kMessageHeaderBytes. Throws ProtocolError as soon as type or length are not valid, so that no
+// caller waits for the body of a message that is rejected anyway.
 std::optional<std::size_t> next_message_size(std::string_view head,
                                              const MaxLengthForType& max_length_for_type);
 constexpr std::size_t kMessageHeaderBytes = 5;  // type and length: as many bytes as next_message_size needs
@@ -68,7 +68,7 @@
     std::uint16_t int16();
     std::uint32_t int32();
     std::string_view bytes(std::size_t count);
-    // Reads up to a zero byte, which is not part of the result.
+    // Reads a string and its terminating zero byte, which is not part of the result.
     std::string_view text();
     bool empty() const { return left_.empty(); }
 
--- a/src/wire/tds/login.cpp
+++ b/src/wire/tds/login.cpp
@@ -44,7 +44,7 @@
 };
 
 // Obfuscates a password as LOGIN7 requires, or reverses that: the nibbles of each byte are swapped, then the
-// byte is XORed with 0xa5 (MS-TDS 2.2.6.4). This is no encryption.
+// byte is XORed with 0xa5 (MS-TDS 2.2.6.4). This is not encryption.
 std::string obfuscated(std::string bytes, bool obfuscate) {
     for (auto& character : bytes) {
         auto byte = static_cast<unsigned char>(character);
--- a/src/wire/tds/token.cpp
+++ b/src/wire/tds/token.cpp
@@ -157,7 +157,7 @@
                 const auto size = in.u32();
                 if (size > kMaxBufferedTokenBytes)
                     throw ProtocolError("an acknowledged feature of " + std::to_string(size) +
-                                        " bytes, above the limit");
+                                        " bytes, above the limit of 128 KiB");
                 in.bytes(size);
             }
             break;
--- a/src/wire/tds/token.h
+++ b/src/wire/tds/token.h
@@ -56,7 +56,7 @@
     virtual void columns(const std::vector<Column>& columns) = 0;
     // A row begins; one value a column follows.
     virtual void row() {}
-    // A value that is not in chunks, or NULL as std::nullopt.
+    // Called for a value that is not sent in chunks, and with std::nullopt for every NULL.
     virtual void value(std::size_t column, std::optional<std::string_view> bytes) = 0;
     // A value in chunks begins; `size` is its total length if the stream states it. Its chunks and
     // end_value() follow.
--- a/src/wire/tds/value.cpp
+++ b/src/wire/tds/value.cpp
@@ -178,8 +178,7 @@
         if (size == 0) return std::nullopt;
     }
     if (!is_valid_size(type, size))
-        throw_protocol_error("a value with a length that is not valid for its type:",
-                             static_cast<unsigned>(size));
+        throw_protocol_error("a value whose length is not valid for its type:", static_cast<unsigned>(size));
     if ((type.id == TypeId::nvarchar || type.id == TypeId::nchar) && size % 2)
         throw ProtocolError("a UTF-16 text with an odd number of bytes");
     return std::string(in.bytes(size));
--- a/tests/decision/discovery_poll_schedule_test.cpp
+++ b/tests/decision/discovery_poll_schedule_test.cpp
@@ -113,8 +113,8 @@
     EXPECT_EQ(backoff.delay_after_failure(rejected, 0.5), 500'001) << "longer if discovery is overloaded";
 }
 
-// Guards against abandoned polls that discovery would still answer: it rejects polls itself after 2 s in its
-// queue.
+// Guards against abandoned polls to which discovery would still respond: it rejects polls itself after 2 s in
+// its queue.
 TEST(PollTimeouts, WaitsLongerThanDiscoveryQueuesAPoll) {
     for (const int routers : {1, 3, 30, 300, 1700}) {
         PollTimeouts timeouts(polled_settings(routers), 7);
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-// A reused connection may have been closed while idle, so its reset is no evidence against the endpoint.
+// A reused connection may have been closed while idle, so its reset is not evidence against the endpoint.
 TEST(OutlierDetection, IgnoresResetsOfReusedConnections) {
     for (const bool reused : {false, true}) {
         RouterFixture fixture(default_settings(), 2);
--- a/tests/fleet/discovery_watch_test.cpp
+++ b/tests/fleet/discovery_watch_test.cpp
@@ -245,8 +245,8 @@
     send_drain(harness, changed_at, "on a connection of its own");
 }
 
-// Discovery moves while a poll is in flight. Responses of the old address are ignored after that, and the
-// list of the new address is accepted although its revision is lower.
+// Discovery's address changes while a poll is in flight. Later responses from the old address are ignored,
+// and the list from the new address is accepted although its revision is lower.
 TEST(DiscoveryWatch, IgnoresResponsesOfTheOldAddressAfterAMove) {
     WatchHarness harness(3);
     run_until_long_poll(harness);
--- a/tests/fleet_test.sh
+++ b/tests/fleet_test.sh
@@ -100,7 +100,7 @@
 discovery)
     run_scenario discovery
     check "processes killed" "$(count_events killed)" -eq 6
-    check "processes ready, with discovery down, behind or slow" "$(count_events ready)" -ge 8
+    check "processes ready, with discovery down, out of date or slow" "$(count_events ready)" -ge 8
     check "complete lists sent by discovery" "$(grep -c '"word":"whole"' "$folder/run/discovery.jsonl")" -ge 1
     # If the proxies accepted the empty list, they would reject all requests of three seconds, about 240.
     check "rejected requests" "$(nested_number refused)" -le 100
@@ -111,7 +111,7 @@
     check "processes that exited cleanly" "$(count_events ended)" -eq 4
     check "attempts at endpoints" "$(top_level_number attempts)" -ge 500
     ;;
-report)  # violations that the rules find in a run record, and folders that are no valid record
+report)  # violations that the rules find in a run record, and folders that are not valid records
     cat >"$folder/short.json" <<'END'
 {"version": 1, "proxies": 3, "banks": 1, "members": 3, "rate_per_s": 20, "length_s": 2, // a comment
  "member": {"least_work_ms": 2, "most_work_ms": 4}}
--- a/tests/integration/client_protocol_scenarios.cpp
+++ b/tests/integration/client_protocol_scenarios.cpp
@@ -42,7 +42,7 @@
         a expect row:v ready)");
 }
 
-TEST(ClientProtocol, DeclinesEncryptionAndAnswersAnEmptyQueryWhenReady) {
+TEST(ClientProtocol, DeclinesEncryptionAndRespondsToAnEmptyQueryWhenReady) {
     play({}, R"(
         a send ssl
         a expect N
@@ -76,7 +76,7 @@
         a expect row:first ready row:second ready empty ready)");
 }
 
-// A write starts once all requests before it have their response, and the requests behind it wait for the
+// A write starts once all requests before it have their response, and the requests after it wait for the
 // write.
 TEST(ClientProtocol, RunsAPipelinedWriteAlone) {
     play({}, R"(
--- a/tests/integration/loopback.h
+++ b/tests/integration/loopback.h
@@ -1,5 +1,5 @@
-// Loopback connections for tests, and a clock that only the test advances. Nothing here sleeps: conditions
-// are checked in a loop, and a limit in real time ends a test that hangs.
+// Loopback connections for tests, and a clock that only the test advances. Tests do not sleep: they check
+// conditions in a loop, and a limit in real time ends a test that hangs.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/integration/pipeline_test.cpp
+++ b/tests/integration/pipeline_test.cpp
@@ -38,7 +38,7 @@
     EXPECT_FALSE(proxy.client.ended);
 }
 
-// Reads of one client run in parallel. A write waits for all requests before it, and the requests behind it
+// Reads of one client run in parallel. A write waits for all requests before it, and the requests after it
 // wait for the write.
 TEST(Pipeline, RunsReadsInParallelAndRespondsInOrder) {
     for (const auto* write_class : {"keyed_write", "plain_write"}) {
--- a/tests/integration/scenario.cpp
+++ b/tests/integration/scenario.cpp
@@ -28,7 +28,7 @@
 namespace {
 
 // What the proxy may buffer of a response that its client does not read: the window of a session, one more
-// read (net::kReadAtOnce), and the messages before the value.
+// read (kMaxReadBytes in connection.cpp), and the messages before the value.
 constexpr std::uint64_t kMaxBufferedBytes = 64 * 1024 + 64 * 1024 + 1024;
 constexpr auto kHangTimeout = std::chrono::seconds(60);  // ends a test that hangs
 constexpr int kMaxIdleIterations = 100;  // after more iterations without a read the proxy has stopped reading
@@ -233,7 +233,7 @@
     }
 
     // Compares the bytes that the proxy has read from the endpoint with those that it has written to the
-    // client. The bytes that the endpoint has sent are no measure: the kernel's receive buffer grows to
+    // client. The bytes that the endpoint has sent are not a measure: the kernel's receive buffer grows to
     // several MiB while the proxy reads. The proxy's send buffer to the client is kept small, so that a proxy
     // that reads on has to buffer the rest itself.
     void check_backpressure(ScenarioPeer& endpoint, ScenarioPeer& client) {
--- a/tests/net/transport_test.cpp
+++ b/tests/net/transport_test.cpp
@@ -26,7 +26,7 @@
     ASSERT_TRUE(!budget.reserve(200, &a));
     second.reset();
     ASSERT_TRUE(budget.reserve(200, &a));  // beyond the limit, but nothing else is reserved
-    // A requester that stops waiting no longer blocks the one behind it.
+    // A requester that stops waiting no longer blocks the next one in the queue.
     first = budget.reserve(100, &a);
     ASSERT_TRUE(first && !budget.reserve(90, &b) && !budget.reserve(1, &c));
     first.reset();
--- a/tests/rehearse_test.sh
+++ b/tests/rehearse_test.sh
@@ -101,7 +101,7 @@
     expect_output 'output is missing'
     expect_exit 2 "$ctl" pcap info "$folder/none.pcap"
     expect_output 'No such file'
-    echo "this is no capture file, whatever its name says" >"$folder/bad.pcap"
+    echo "this is not a capture file, although its name ends in .pcap" >"$folder/bad.pcap"
     expect_exit 2 "$ctl" pcap rehearse "$folder/bad.pcap"
     make_recording
     expect_exit 2 "$ctl" pcap replay "$folder/a.pcap"
