--- a/tests/fleet_test.sh
+++ b/tests/fleet_test.sh
@@ -50,7 +50,7 @@
     check "processes that exited cleanly" "$(count_events ended)" -eq 5
     check "requests lost with a killed process, which the rules excuse" "$(top_level_number excused)" -ge 1
     # The report's `serving`: five processes were killed last, six seconds before the end, and all have to be back.
-    check "restarted processes that heard from their endpoints again" "$(nested_number count)" -ge 5
+    check "restarted processes that reached the start-up phase serving" "$(nested_number count)" -ge 5
     ;;
 pause)
     run_scenario pause
