--- a/src/decision/endpoint_registry.cpp
+++ b/src/decision/endpoint_registry.cpp
@@ -67,7 +67,7 @@
     auto& group = state_.group(endpoint.replica_group);
     // If removal is advisory, the list may be wrong: the primary is kept while it responds.
     if (group.primary == endpoint.id && !is_advisory)
-        primary_tracker_.clear_primary(group, ": removed", actions);
+        primary_tracker_.clear_primary(group, " removed", actions);
 }
 
 void EndpointRegistry::update_subset(const ReplicaGroup& group) {
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -129,7 +129,7 @@
     const char* reason = cause == EjectionCause::disconnected ? " disconnected" : " silent";
     actions.emplace_back(endpoint_log("endpoint ejected: ", endpoint, reason));
     auto& group = state_.group(endpoint.replica_group);
-    if (group.primary == endpoint.id) primary_tracker_.clear_primary(group, ": does not respond", actions);
+    if (group.primary == endpoint.id) primary_tracker_.clear_primary(group, " no answer", actions);
 }
 
 void OutlierDetection::restore(Endpoint& endpoint, Actions& actions) {
--- a/src/decision/primary_tracker.cpp
+++ b/src/decision/primary_tracker.cpp
@@ -52,7 +52,7 @@
     state_.startup.on_role_reported(group.id);
     if (status.role == Role::primary) return on_primary_reported(endpoint, group, status, actions);
     endpoint.role = Role::replica;
-    if (group.primary == endpoint.id) clear_primary(group, ": now a replica", actions);
+    if (group.primary == endpoint.id) clear_primary(group, " now a replica", actions);
 }
 
 void PrimaryTracker::on_primary_reported(Endpoint& endpoint, ReplicaGroup& group,
