--- a/emulator/checker.cpp
+++ b/emulator/checker.cpp
@@ -88,7 +88,7 @@
     const bool first = e.what == What::ran;
     first ? ++ran_ : ++repeats_;
     auto& values = values_[e.id];
-    // All attempts of a read return the same value.
+    // Stores each distinct value once, because all attempts of a read return the same value.
     if (std::find(values.begin(), values.end(), e.value) == values.end()) values.push_back(e.value);
     if (first && !e.key.empty() && ++executions_by_key_[e.key] == 2)
         add_violation("the write with key " + e.key + " ran twice, the second time as request " + e.id);
--- a/emulator/discovery.cpp
+++ b/emulator/discovery.cpp
@@ -192,7 +192,8 @@
 
 // Records what the response tells the proxy; drain rules bind it from now on.
 void Discovery::record_notifications(int proxy, bool complete, std::int64_t after) {
-    if (state_ == State::empty || state_ == State::behind) return;  // the list says nothing true
+    // The served list is empty or outdated, so it notifies the proxy of no current phase.
+    if (state_ == State::empty || state_ == State::behind) return;
     Event e;
     e.at = deadlines_.now();
     e.proxy = proxy;
--- a/fault_harness/compare.h
+++ b/fault_harness/compare.h
@@ -27,7 +27,7 @@
 struct Row {
     std::string scenario, figure;
     int proxies = 0;
-    std::vector<Interval> builds;  // in the order of `names`
+    std::vector<Interval> builds;  // in the order of the names passed to compare()
     Interval change;               // second build minus first, on the seeds that both have
 };
 // Returns the figures of a report that are compared, by name; std::nullopt if the report lacks the figure.
--- a/fault_harness/report.cpp
+++ b/fault_harness/report.cpp
@@ -21,8 +21,8 @@
 
 // Summary of the proxies' logs, over all starts of all proxies.
 struct LogSummary {
-    // Number of rejected requests by reason. For a killed proxy these are the metrics that it logged last, up
-    // to 10 s before.
+    // Number of rejected requests by reason, from the last metrics that each process logged. A killed proxy
+    // may have logged them up to 10 s before it was killed.
     json causes = json::object();
     // For restarts: time from the start until discovery delivered a list, and until endpoints responded; in
     // ms.
--- a/src/core/settings/setting_field.h
+++ b/src/core/settings/setting_field.h
@@ -18,7 +18,8 @@
     Value meaning;
 };
 
-// Returns the value of the table's word that equals `value`. Throws SettingError if no word does.
+// Looks up the text `value` in the table `words` and returns the meaning of the word. Throws SettingError if
+// the table has no such word.
 template <class Value, std::size_t kCount>
 Value read_word(const std::string& key, const std::string& value, const Word<Value> (&words)[kCount]) {
     for (const auto& word : words)
--- a/src/decision/latency_baseline.h
+++ b/src/decision/latency_baseline.h
@@ -24,7 +24,7 @@
     double ratio(std::size_t class_index, Micros latency_us) const;
     // Adjusts the baseline of the class by the latency ratio of one attempt.
     void update(std::size_t class_index, double latency_ratio);
-    // Adds the latency ratio of one attempt with a response to the fleet's ratio.
+    // Updates the smoothed ratio of the fleet with the latency ratio of an attempt that got a response.
     void update_fleet(double latency_ratio);
     // Returns the smoothed latency ratio over all endpoints; over 1 while the whole fleet is slow.
     double fleet_ratio() const { return fleet_ratio_; }
--- a/src/decision/silence_criteria.h
+++ b/src/decision/silence_criteria.h
@@ -10,7 +10,8 @@
 // Sum of expected latencies without a response. If latencies are exponentially distributed, a healthy
 // endpoint reaches it with probability e^-10.
 constexpr double kSilenceEvidence = 10;
-// One attempt must have waited longer than both this multiple of its expected latency and kMinSilenceUs.
+// One attempt must have waited longer than both kMinSilenceUs and this multiple of an expected latency: its
+// own for the silence of a zone, the shortest of the attempts in flight for the silence of an endpoint.
 constexpr double kSilenceLatencyFactor = 4;
 constexpr Micros kMinSilenceUs = 120'000;
 
--- a/src/downstream/sessions/client_framer.h
+++ b/src/downstream/sessions/client_framer.h
@@ -46,7 +46,7 @@
     std::optional<pgwire::Message> next_startup();
     std::optional<pgwire::Message> next_message();
     void consume(const pgwire::Message& message) { connection_->consume(message.size); }
-    // Returns when the last byte of `message`, the first one of the input, arrived.
+    // Returns the arrival time of the last byte of `message`, which must be the first message of the input.
     Time arrival_of(const pgwire::Message& message);
     // Returns the text of the next message if it is a complete query of at most `max_size` bytes.
     std::optional<std::string_view> peek_query(std::size_t max_size) const;
--- a/src/upstream/connection_pool/connection_pool.h
+++ b/src/upstream/connection_pool/connection_pool.h
@@ -42,8 +42,8 @@
     void cancel_attempt(traffic::RequestId request, int number) override;
     void start_health_check(traffic::EndpointId endpoint) override;
 
-    // Closes idle connections while the quota is exceeded, as after it has been lowered. Busy connections
-    // close after their responses.
+    // Closes idle connections until the quota, which may have been lowered, is no longer exceeded or no
+    // connection is idle. Busy connections close after their responses.
     void shrink_to_quota();
     std::size_t connection_count() const { return connections_.size(); }
 
--- a/src/upstream/connection_pool/upstream_connection.h
+++ b/src/upstream/connection_pool/upstream_connection.h
@@ -33,9 +33,9 @@
     virtual void on_response_progress(UpstreamConnection& connection) = 0;
     // The response is complete; the connection is idle again.
     virtual void on_response(UpstreamConnection& connection, UpstreamResponse& response) = 0;
-    // The connection can no longer be used. `response` holds the outcome if the query had one before the
-    // failure; it is empty if the endpoint's data was invalid. `too_many_connections`: the endpoint rejected
-    // the connection with that error.
+    // The connection can no longer be used. `response` holds the part of the response that was received
+    // before the failure, with the outcome if that is known; it is empty if the endpoint's data was invalid.
+    // `too_many_connections` is true if the endpoint rejected the connection because it has too many.
     virtual void on_connection_failed(UpstreamConnection& connection, UpstreamResponse& response,
                                       bool too_many_connections) = 0;
 
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of LoadBalancer with a whole router: the capacity of an endpoint.
+// Tests how LoadBalancer, as part of a router, uses the capacity of an endpoint.
 #include <gtest/gtest.h>
 
 #include "router_fixture.h"
